--- a/packages/entry/__tests__/crashDispatch.spec.ts
+++ b/packages/entry/__tests__/crashDispatch.spec.ts
@@ -25,12 +25,12 @@
 
 const EVENT = Buffer.from('id: 1\ndata: x\n\n');
 
-/** What a backend server does with a request, and then its connection breaks. */
-type Break = 'before-head' | 'after-head' | 'after-event';
+/** How far a backend server gets with a request before its connection breaks. */
+type BreakPoint = 'before-head' | 'after-head' | 'after-event';
 
-function createResponse(pieces: readonly Buffer[]): BackendResponse {
+function createResponse(chunks: readonly Buffer[]): BackendResponse {
   const body = new PassThrough();
-  pieces.forEach((piece) => body.write(piece));
+  chunks.forEach((chunk) => body.write(chunk));
   setImmediate(() => setImmediate(() => body.destroy(new Error('aborted'))));
   return {
     status: 200,
@@ -46,8 +46,8 @@
   };
 }
 
-/** Breaks the connection of a run in one of the three ways. */
-const BREAKS: Readonly<Record<Break, () => Promise<BackendResponse>>> = {
+/** Response of a backend server whose connection breaks at the given point. */
+const BREAKS: Readonly<Record<BreakPoint, () => Promise<BackendResponse>>> = {
   'before-head': () => Promise.reject(new SpoolplankError('unreachable', { outcome: 'unknown' })),
   'after-head': () => Promise.resolve(createResponse([])),
   'after-event': () => Promise.resolve(createResponse([EVENT])),
@@ -55,27 +55,27 @@
 
 interface Setting {
   readonly kind?: RouteKind;
-  readonly how?: Break;
-  /** Servers that ended under the same content elsewhere. */
-  readonly endsBefore?: number;
-  /** Ends the content's third server elsewhere while the request waits for a slot. */
-  readonly endsInLine?: boolean;
+  readonly breakPoint?: BreakPoint;
+  /** Number of servers that have already crashed on the same content elsewhere. */
+  readonly priorCrashes?: number;
+  /** Whether another server crashes on the content elsewhere while the request waits for a slot. */
+  readonly crashesWhileWaiting?: boolean;
 }
 
 function createSetting({
   kind = 'stream',
-  how = 'after-head',
-  endsBefore = 0,
-  endsInLine = false,
+  breakPoint = 'after-head',
+  priorCrashes = 0,
+  crashesWhileWaiting = false,
 }: Setting = {}) {
   const { clock, view, announce } = createTables();
   ['e1', 'e2', 'e3', 'e4'].forEach((id) => announce(createEngine(id, 0, 8)));
-  const notes: ServerRun[] = [];
+  const recordedRuns: ServerRun[] = [];
   let sends = 0;
   const operations = {
     open() {
       sends += 1;
-      return BREAKS[how]();
+      return BREAKS[breakPoint]();
     },
     isReachable: () => Promise.resolve(false),
   } as unknown as BackendOperations;
@@ -85,7 +85,7 @@
     crashes: {
       ...base.crashes,
       record(run) {
-        notes.push(run);
+        recordedRuns.push(run);
         const end = { ...run, turn: 0, evidence: 'run' } as const;
         base.quarantine.recordEnd(end);
         base.quarantine.onFact({ kind: 'crash', ...end });
@@ -96,17 +96,17 @@
   const admitted = createAdmitted(clock, createRoute(kind, { maxAttempts: 4 }));
   const content = digestContent(contentOf(admitted));
   let ended = 0;
-  function endElsewhere(): void {
+  function crashElsewhere(): void {
     ended += 1;
     const run = { content, instanceId: `other-${ended}`, ranMs: 80 };
     const end = { ...run, turn: 0, evidence: 'run' } as const;
     context.quarantine.recordEnd(end);
     context.quarantine.onFact({ kind: 'crash', ...end });
   }
-  for (let count = 0; count < endsBefore; count += 1) endElsewhere();
+  for (let count = 0; count < priorCrashes; count += 1) crashElsewhere();
 
   const findSlot = () => {
-    if (endsInLine) endElsewhere();
+    if (crashesWhileWaiting) crashElsewhere();
     return Promise.resolve(createChain(`e${sends + 1}`));
   };
   const slots: SlotFinder = {
@@ -124,7 +124,7 @@
   });
   const plain = createPlainDispatch(context, createNoPermits());
   return {
-    notes,
+    recordedRuns,
     context,
     admitted,
     sends: () => sends,
@@ -140,43 +140,43 @@
   };
 }
 
-describe('a stream whose engine ended', () => {
-  it('is suspected when it had the head of its answer and no event', async () => {
+describe('a stream whose engine crashed', () => {
+  it('is suspected when the response head had arrived but no event', async () => {
     const setting = createSetting();
     await setting.run();
-    assert.equal(setting.notes[0]?.instanceId, 'e1');
-    assert.equal(setting.notes[0]?.content, digestContent(contentOf(setting.admitted)));
+    assert.equal(setting.recordedRuns[0]?.instanceId, 'e1');
+    assert.equal(setting.recordedRuns[0]?.content, digestContent(contentOf(setting.admitted)));
   });
 
-  it('is not suspected when it had not begun, nor when it had passed on an event', async () => {
-    for (const how of ['before-head', 'after-event'] as const) {
-      const setting = createSetting({ how });
+  it('is not suspected before the response head or after the first event', async () => {
+    for (const breakPoint of ['before-head', 'after-event'] as const) {
+      const setting = createSetting({ breakPoint });
       await setting.run();
-      assert.deepEqual(setting.notes, [], how);
+      assert.deepEqual(setting.recordedRuns, [], breakPoint);
       assert.ok(setting.sends() >= 1);
     }
   });
 
-  it('is sent on once by the router, so that one try of a caller ends two engines at most', async () => {
+  it('is retried only once, so that one request of a caller crashes two engines at most', async () => {
     const setting = createSetting();
     assert.equal(await setting.run(), 'backend-server-failed');
     assert.equal(setting.sends(), 2);
   });
 
-  it('is not sent on by the router when an engine ended under it before', async () => {
-    const setting = createSetting({ endsBefore: 1 });
+  it('is not retried when its content had already crashed an engine', async () => {
+    const setting = createSetting({ priorCrashes: 1 });
     assert.equal(await setting.run(), 'backend-server-failed');
     assert.equal(setting.sends(), 1);
   });
 
-  it('leaves for no engine when the third one ended elsewhere while it waited', async () => {
-    const setting = createSetting({ endsBefore: 2, endsInLine: true });
+  it('is not sent when its content crashes a third engine elsewhere while it waits', async () => {
+    const setting = createSetting({ priorCrashes: 2, crashesWhileWaiting: true });
     assert.equal(await setting.run(), 'quarantined');
     assert.equal(setting.sends(), 0);
   });
 
-  it('clears its content when an event comes', async () => {
-    const setting = createSetting({ how: 'after-event', endsBefore: 2 });
+  it('clears its content when an event arrives', async () => {
+    const setting = createSetting({ breakPoint: 'after-event', priorCrashes: 2 });
     let served = 0;
     const { quarantine } = setting.context;
     Object.assign(quarantine, {
@@ -191,32 +191,32 @@
 
 describe('a request to a server', () => {
   (['stream', 'safe', 'once'] as const).forEach((kind) => {
-    it(`is told to the reporter before it is sent: ${kind}`, async () => {
+    it(`is recorded by the crash reporter before it is sent: ${kind}`, async () => {
       const setting = createSetting({ kind });
-      const told: string[] = [];
+      const recorded: string[] = [];
       Object.assign(setting.context.crashes, {
         recordSend: (_content: unknown, target: { readonly instanceId: string }) =>
-          told.push(`${target.instanceId} after ${setting.sends()} sends`),
+          recorded.push(`${target.instanceId} after ${setting.sends()} sends`),
       });
       await setting.run();
-      assert.match(told[0] ?? '', /^e\d after 0 sends$/);
-      assert.equal(told.length, setting.sends());
+      assert.match(recorded[0] ?? '', /^e\d after 0 sends$/);
+      assert.equal(recorded.length, setting.sends());
     });
   });
 });
 
-describe('a plain request whose server ended', () => {
-  it('is suspected whatever had come of it, and sent on once', async () => {
-    const setting = createSetting({ kind: 'safe', how: 'before-head' });
+describe('a plain request whose server crashed', () => {
+  it('is suspected regardless of its progress and retried once', async () => {
+    const setting = createSetting({ kind: 'safe', breakPoint: 'before-head' });
     await setting.run();
     assert.equal(setting.sends(), 2);
-    assert.equal(new Set(setting.notes.map(({ instanceId }) => instanceId)).size, 2);
+    assert.equal(new Set(setting.recordedRuns.map(({ instanceId }) => instanceId)).size, 2);
   });
 
-  it('is suspected too when it may run only once', async () => {
-    const setting = createSetting({ kind: 'once', how: 'before-head' });
+  it('is suspected as well when it may run only once', async () => {
+    const setting = createSetting({ kind: 'once', breakPoint: 'before-head' });
     await setting.run();
     assert.equal(setting.sends(), 1);
-    assert.equal(setting.notes.length, 1);
+    assert.equal(setting.recordedRuns.length, 1);
   });
 });
--- a/packages/entry/__tests__/incompletePath.spec.ts
+++ b/packages/entry/__tests__/incompletePath.spec.ts
@@ -1,4 +1,7 @@
-/** A stream was sent to one engine without layers, as a VM without a configuration granted it. */
+/**
+ * Guards against streams that are sent over a path without layers: an allocator that had no
+ * configuration yet treated the service as a plain one and granted a slot on a single engine.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createManualClock } from '@spoolplank/shared';
@@ -19,7 +22,7 @@
 
 const ENGINE = { instanceId: 'e1', address: 'e1:80' };
 
-/** The chains that a VM knows of that knows an engine, and no configuration. */
+/** The chains known to a VM that has received an engine but no configuration. */
 function createUnconfigured() {
   return createSlotChains({
     clock: createManualClock(),
@@ -46,7 +49,7 @@
   });
 });
 
-describe('a path that does not run every layer once, in order', () => {
+describe('a path that does not cover every layer once and in order', () => {
   const paths: Readonly<Record<string, ChosenChain['stages']>> = {
     'without layers': [{ id: 'e1', address: 'e1:80', firstLayer: 0, endLayer: 0 }],
     'that ends early': [{ id: 'e1', address: 'e1:80', firstLayer: 0, endLayer: 7 }],
@@ -57,7 +60,7 @@
   };
 
   Object.entries(paths).forEach(([name, stages]) => {
-    it(`is sent nothing, whoever granted it: one ${name}`, async () => {
+    it(`is sent no stream, whichever VM granted it: one ${name}`, async () => {
       const clock = createManualClock();
       let sends = 0;
       const operations = {
--- a/packages/entry/__tests__/plainDispatch.spec.ts
+++ b/packages/entry/__tests__/plainDispatch.spec.ts
@@ -23,7 +23,7 @@
   isAnonymousAllowed: false,
 };
 
-/** A backend server that takes requests and never answers. */
+/** A backend server that accepts requests and never responds. */
 function createSilentBackend() {
   const calls: BackendCall[] = [];
   const operations = {
@@ -59,11 +59,11 @@
   return { calls, clock, run: () => dispatch.run(admitted) };
 }
 
-describe('a request whose backend server is silent', () => {
+describe('a request whose backend server does not respond', () => {
   beforeEach(() => mock.timers.enable({ apis: ['setTimeout'] }));
   afterEach(() => mock.timers.reset());
 
-  it('is given up 30 ms before the caller stops waiting, and not sooner', async () => {
+  it('is aborted 30 ms before the timeout of the caller, and not sooner', async () => {
     const { calls, clock, run } = createDispatch();
     const outcome = run().catch((error: unknown) => error);
     await nextTurn();
@@ -77,6 +77,6 @@
     const error = await outcome;
     assert.ok(error instanceof SpoolplankError);
     assert.equal(error.httpStatus, 504);
-    assert.equal(calls.length, 1, 'it may have run, so it is sent to nobody else');
+    assert.equal(calls.length, 1, 'it may have run, so it is not retried');
   });
 });
--- a/packages/entry/__tests__/routingView.spec.ts
+++ b/packages/entry/__tests__/routingView.spec.ts
@@ -197,7 +197,7 @@
       const whole = Buffer.concat([first, splitter.push(Buffer.from(events.slice(at)))]);
       assert.equal(whole.toString(), events);
       assert.equal(splitter.lastEventId, '3');
-      assert.equal(splitter.hasBackoff, false);
+      assert.equal(splitter.hasPartialEvent, false);
     }
   });
 
@@ -205,6 +205,6 @@
     const splitter = createEventSplitter();
     splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'));
     assert.equal(splitter.lastEventId, '1');
-    assert.equal(splitter.hasBackoff, true);
+    assert.equal(splitter.hasPartialEvent, true);
   });
 });
--- a/packages/entry/__tests__/serverBackoff.spec.ts
+++ b/packages/entry/__tests__/serverBackoff.spec.ts
@@ -13,14 +13,14 @@
   return error;
 }
 
-describe('a request that a server turned away', () => {
+describe('a request that a server rejected', () => {
   for (const kind of ['stream', 'safe', 'once'] as const) {
-    it(`goes to another one, as does the next request (${kind})`, async () => {
+    it(`is sent to another server, as is the next request (${kind})`, async () => {
       const setting = createBackoffSetting(kind);
       SERVERS.slice(0, 2).forEach((id) => setting.moods.set(id, 'backoff'));
       assert.equal((await setting.send()).outcome, 'served');
       const first = [...setting.sends];
-      assert.equal(new Set(first).size, first.length, 'no server had it twice');
+      assert.equal(new Set(first).size, first.length, 'no server received it twice');
       assert.equal((await setting.send()).outcome, 'served');
       const backingOff = first.filter((id) => id !== 'e3');
       const after = setting.sends.slice(first.length);
@@ -31,7 +31,7 @@
       assert.equal(held, 0, 'none of them was chosen');
     });
 
-    it(`does not go there again where it asked for no backoff; the next request may (${kind})`, async () => {
+    it(`is not sent there again even without a backoff, but the next request may be (${kind})`, async () => {
       const setting = createBackoffSetting(kind);
       SERVERS.forEach((id) => setting.moods.set(id, 'busy'));
       const error = await refusalOf(setting.send());
@@ -42,7 +42,7 @@
     });
   }
 
-  it('may go to a chain whose first engine could not be reached, once it is mended', async () => {
+  it('may use a chain whose first engine was unreachable, once the chain is repaired', async () => {
     const setting = createBackoffSetting('stream');
     setting.moods.set('e1', 'gone');
     setting.whenSent(() => setTimeout(() => setting.moods.delete('e1'), 0));
@@ -51,7 +51,7 @@
     setting.searches.forEach(({ excludedHeads }) => assert.equal(excludedHeads.size, 0));
   });
 
-  it('is refused at once when all back off, and told the time of its turn', async () => {
+  it('is refused at once with a time to retry after when all servers are in backoff', async () => {
     const setting = createBackoffSetting('safe');
     SERVERS.forEach((id) => setting.notices.take(createNotice({ instanceId: id })));
     setting.clock.advance(500);
@@ -63,7 +63,7 @@
     assert.deepEqual(setting.sends, []);
   });
 
-  it('is told the end of the first backoff by the request that all of them turned away', async () => {
+  it('is refused with the end of the first backoff when all servers rejected it', async () => {
     const setting = createBackoffSetting('safe');
     SERVERS.forEach((id) => setting.moods.set(id, 'backoff'));
     const error = await refusalOf(setting.send());
@@ -88,10 +88,10 @@
 });
 
 describe('a stream whose engine asked for a backoff after the choice', () => {
-  it('is given another slot, at the cost of no retry', async () => {
+  it('gets another slot without spending a retry', async () => {
     const setting = createBackoffSetting('stream');
     const { backoffs } = setting.notices;
-    // Chosen as if the word had not come yet.
+    // Hides the backoff from the choice, as if the notice arrived between choice and send.
     let isHidden = true;
     const { isHeldBack } = backoffs;
     Object.assign(backoffs, {
--- a/packages/entry/__tests__/serverNotices.spec.ts
+++ b/packages/entry/__tests__/serverNotices.spec.ts
@@ -5,8 +5,8 @@
 import { createEngine } from './fixtures';
 import { createNotice, createBackoffSetting, BACKOFF_MS, SERVERS } from './backoffFixtures';
 
-describe('what a server said of itself', () => {
-  it('is noted once a backoff, whatever is turned away in it', () => {
+describe('a notice from a server', () => {
+  it('of a backoff is logged once, however many requests the server rejects', () => {
     const { notices, linesOf, metrics } = createBackoffSetting();
     [1, 2, 3].forEach(() => notices.take(createNotice()));
     assert.equal(linesOf('server-backoff').length, 1);
@@ -15,7 +15,7 @@
     assert.deepEqual(notices.describe(), [{ instanceId: 'e1', remainingMs: BACKOFF_MS }]);
   });
 
-  it('holds for the engine that is named as at fault as well as for the one that answered', () => {
+  it('applies to the engine that answered and to the culprit that it names', () => {
     const { notices } = createBackoffSetting();
     notices.take(createNotice({ culpritAddress: 'e2:80' }));
     const closed = SERVERS.map((id) => notices.closedReason(id));
@@ -30,13 +30,13 @@
     assert.equal(notices.closedReason('e2'), 'backoff');
   });
 
-  it('does not hold for the next incarnation of the server, nor does its late word', () => {
+  it('does not apply to the next incarnation of the server, even when it arrives late', () => {
     const { notices } = createBackoffSetting();
     notices.take(createNotice({ instanceId: 'e1/1' }));
     assert.equal(notices.closedReason('e1/2'), null);
   });
 
-  it('that it leaves, is undone by no announcement that is heard later', () => {
+  it('of departure is not revoked by a later announcement', () => {
     const { notices, view, announce } = createBackoffSetting();
     notices.take(createNotice({ backoffMs: null, isLeaving: true, status: 200 }));
     announce(createEngine('e1', 0, 8), 7);
@@ -45,7 +45,7 @@
     assert.deepEqual(left, ['e2', 'e3']);
   });
 
-  it('that it leaves, holds for one run only', () => {
+  it('of departure applies to one incarnation only', () => {
     const { notices, view, announce, table } = createBackoffSetting();
     notices.take(createNotice({ instanceId: 'e1/1', backoffMs: null, isLeaving: true }));
     announce(createEngine('e1/2', 0, 8), 2);
@@ -58,13 +58,13 @@
     assert.ok(left.includes('e1/2'), left.join(' '));
   });
 
-  it('that it leaves, is stated to others for five seconds, and logged once', () => {
+  it('of departure is stated to other VMs for five seconds, and logged once', () => {
     const { notices, clock, linesOf } = createBackoffSetting();
     [1, 2].forEach(() => notices.take(createNotice({ backoffMs: null, isLeaving: true })));
     assert.equal(linesOf('server-leaves').length, 1);
     const [update] = notices.listStatements();
     assert.deepEqual(update?.body, { kind: 'leaving', instanceId: 'e1' });
-    assert.deepEqual(notices.listClosed(), ['e1'], 'to VMs that may not know it');
+    assert.deepEqual(notices.listClosed(), ['e1'], 'for VMs that may not know of it');
     clock.advance(5001);
     assert.deepEqual(notices.listStatements(), []);
     notices.sweep();
@@ -72,11 +72,11 @@
   });
 });
 
-describe('the last look before a send', () => {
+describe('the check before a send', () => {
   const target = { instanceId: 'e1', address: 'e1:80' };
   const call = { target } as unknown as Parameters<BackendOperations['open']>[0];
 
-  it('holds back requests, reports and repairs of a server that backs off', async () => {
+  it('holds back requests, reports and repairs to a server in backoff', async () => {
     const { notices, guarded, sends, metrics } = createBackoffSetting();
     notices.take(createNotice());
     await assert.rejects(guarded.open(call), { code: 'server-closed', outcome: 'not-run' });
@@ -87,14 +87,14 @@
     assert.equal(metrics.valueOf('spoolplank_sends_held_back_total', { reason: 'backoff' }), 3);
   });
 
-  it('lets streams over a leaving engine be repaired, and sends it nothing new', async () => {
+  it('allows repairs on an engine that is leaving, but no new requests', async () => {
     const { notices, guarded } = createBackoffSetting();
     notices.take(createNotice({ backoffMs: null, isLeaving: true }));
     await assert.rejects(guarded.open(call), { code: 'server-closed' });
     assert.equal((await guarded.repair(target, 'r1', [], 100)).kind, 'repaired');
   });
 
-  it('repairs streams while requests return to a server one after the other', async () => {
+  it('allows repairs while requests are readmitted to a server one by one', async () => {
     const { notices, guarded, clock } = createBackoffSetting();
     notices.take(createNotice());
     clock.advance(BACKOFF_MS);
--- a/packages/entry/src/dispatch/backendOperations.ts
+++ b/packages/entry/src/dispatch/backendOperations.ts
@@ -1,4 +1,4 @@
-/** What an entry can do with backend servers; a protocol implements it. */
+/** Operations that an entry performs on backend servers; each protocol implements them. */
 import type { Readable } from 'node:stream';
 import type { NoticeListener } from '@spoolplank/membership';
 import type { LimitDirective, PathStage } from '@spoolplank/routing';
@@ -13,17 +13,17 @@
   readonly target: BackendTarget;
   readonly request: CallerRequest;
   readonly organisation: string | null;
-  /** How long the backend server may work. */
+  /** Time that the backend server has for the request. */
   readonly remainingMs: number;
-  /** Engines that the request runs through; the first one is the target. */
+  /** Engines that the request passes through; the first one is the target. */
   readonly stages?: readonly PathStage[];
-  /** A stream goes on after this event. */
+  /** Id of the event after which a stream resumes; null to start from the beginning. */
   readonly resumeAfter: string | null;
-  /** Ends the call and its connection. */
+  /** Aborts the call and closes its connection. */
   readonly signal: AbortSignal;
-  /** How long a new connection may take. */
+  /** Timeout for establishing a new connection. */
   readonly connectTimeoutMs: number;
-  /** Whether it has a permit for the rate that the target named. */
+  /** Whether the request holds a permit under the rate limit that the target named. */
   readonly hasPermit?: boolean;
 }
 
@@ -32,28 +32,28 @@
   readonly queued: number;
 }
 
-/** The head of an answer. */
+/** The head of a response, with its body still to be read. */
 export interface BackendResponse {
   readonly status: number;
-  /** What goes on to the caller as it came. */
+  /** Headers that are passed through to the caller unchanged. */
   readonly headers: RawHeaders;
-  /** The backend server vouches that it has not run the request. */
+  /** Whether the backend server guarantees that it has not run the request. */
   readonly isNotRun: boolean;
-  /** Another backend server has this address now. */
+  /** Whether the address now belongs to another backend server. */
   readonly isMisdirected: boolean;
-  /** What makes the answer unfit to be passed on; null when nothing does. */
+  /** Why the response must not be passed on to the caller; null when it may be. */
   readonly problem: string | null;
-  /** The engine that could not do its part, by address. */
+  /** Address of the engine that failed to run its stage; null when none is named. */
   readonly culpritAddress: string | null;
   readonly load: ReportedBackendLoad | null;
-  /** How long the backend server wants nothing from this VM; null where it does not say. */
+  /** Time for which the backend server asks this VM to send nothing; null when it asks for none. */
   readonly backoffMs: number | null;
-  /** What it says of a limit; null where it is not the target that speaks, or unreadably. */
+  /** Rate limit directive; null when it is unreadable or does not come from the target itself. */
   readonly limit: LimitDirective | null;
   readonly body: Readable;
 }
 
-/** A request that an engine waits with, and the engine that it waits for. */
+/** A request that is stalled on an engine, and the address of the engine that it waits for. */
 export interface StalledRequest {
   readonly requestId: string;
   readonly address: string;
@@ -63,7 +63,7 @@
   readonly stalled: readonly StalledRequest[];
 }
 
-/** `unfit`: a stage could not take its part; its address is named. */
+/** `unfit`: a stage could not take over its layers; `address` names it. */
 export type RepairOutcome =
   | { readonly kind: 'repaired' }
   | { readonly kind: 'unfit'; readonly address: string | null }
@@ -71,18 +71,18 @@
   | { readonly kind: 'failed'; readonly problem: string };
 
 export interface BackendOperations {
-  /** Sets who is called with all that backend servers say of themselves, with any answer. */
+  /** Sets the listener for the notices that backend servers attach to any response. */
   onNotice(listener: NoticeListener): void;
   /**
-   * Sends a request and resolves with the head of the answer.
+   * Sends a request and resolves with the head of the response.
    *
    * @throws SpoolplankError `unreachable`; its outcome is `not-run` when nothing was sent.
    */
   open(call: BackendCall): Promise<BackendResponse>;
   report(target: BackendTarget, timeoutMs: number): Promise<EngineReport>;
-  /** Whether a new connection to the address is accepted in time. */
+  /** Whether a new connection to the address is accepted within the timeout. */
   isReachable(address: string, timeoutMs: number): Promise<boolean>;
-  /** Gives a running stream another path with the same first stage. */
+  /** Moves a running stream to another path with the same first stage. */
   repair(
     target: BackendTarget,
     requestId: string,
--- a/packages/entry/src/dispatch/chainCatalog.ts
+++ b/packages/entry/src/dispatch/chainCatalog.ts
@@ -1,4 +1,4 @@
-/** The chains of each data centre, found among its engines and kept while nothing changes there. */
+/** The chains of each data centre, computed from its engines and cached until these change. */
 import type { BackendFact } from '@spoolplank/membership';
 import { findStageChains, rateCapacities } from '@spoolplank/routing';
 import type { CapacityEngine, ModelDescription, PathStage, StageEngine } from '@spoolplank/routing';
@@ -6,11 +6,11 @@
 
 export interface ChainCatalogOptions {
   readonly view: RoutingView;
-  /** Engines to leave out for now, by instance. */
+  /** Whether an engine is excluded for now, by instance id. */
   readonly isAvoided: (instanceId: string) => boolean;
 }
 
-/** A chain and how many requests of usual size it holds. */
+/** A chain and its capacity in requests of usual size. */
 export interface RatedChain {
   readonly headId: string;
   readonly stages: readonly PathStage[];
@@ -19,23 +19,21 @@
 
 export interface ChainCatalog {
   listDataCentres(service: string): readonly string[];
-  /**
-   * The chains of a data centre, whatever their load, and whether an engine of theirs backs off.
-   */
+  /** All chains of a data centre, including those that are full or have an engine in backoff. */
   listOf(service: string, model: ModelDescription, dataCentre: string): readonly RatedChain[];
-  /** Engines that may take a part of a path, in the data centre of one of them. */
-  listEnginesBeside(
+  /** Engines that can run a stage of a path, in the data centre of the given engine. */
+  listEnginesInSameDataCentre(
     service: string,
     model: ModelDescription,
     instanceId: string,
   ): readonly StageEngine[];
 }
 
-/** What the chains of a data centre were found from. */
+/** The chains of a data centre with the inputs that they were computed from. */
 interface CachedChains {
   readonly facts: readonly BackendFact[];
-  /** How slow each of them is, and which are left out. */
-  readonly conditions: string;
+  /** Slowdown of each engine, or `-` for an excluded one. */
+  readonly engineStates: string;
   readonly chains: readonly RatedChain[];
 }
 
@@ -46,7 +44,7 @@
 
 const MS_PER_S = 1000;
 
-/** Time that one layer costs one token of an answer, its share of the prompt's reading included. */
+/** Time that one layer takes per output token, including its share of the prompt prefill. */
 function layerCostMs(kindName: string, model: ModelDescription): number {
   const kind = model.kinds.find(({ name }) => name === kindName);
   if (!kind) return Number.POSITIVE_INFINITY;
@@ -124,14 +122,14 @@
       )
       .join(' ');
     const known = cache.get(dataCentre);
-    // A search takes some 5 ms for 45 engines: what changes elsewhere is no reason for one.
+    // A search takes about 5 ms for 45 engines, so changes in other data centres do not trigger it.
     const isSame =
-      known?.conditions === conditions &&
+      known?.engineStates === conditions &&
       known.facts.length === facts.length &&
       known.facts.every((fact, index) => fact === facts[index]);
     if (isSame) return known.chains;
     const chains = rateChains(facts, model);
-    cache.set(dataCentre, { facts, conditions, chains });
+    cache.set(dataCentre, { facts, engineStates: conditions, chains });
     return chains;
   }
 
@@ -155,9 +153,9 @@
       const facts = groupByDataCentre(service).get(dataCentre) ?? [];
       return facts.length > 0 ? chainsOf(dataCentre, facts, model) : [];
     },
-    listEnginesBeside(service, model, instanceId) {
-      const home = view.listBackends(service).find((fact) => fact.instanceId === instanceId);
-      return toStageEngines(groupByDataCentre(service).get(home?.dataCentre ?? '') ?? [], model);
+    listEnginesInSameDataCentre(service, model, instanceId) {
+      const anchor = view.listBackends(service).find((fact) => fact.instanceId === instanceId);
+      return toStageEngines(groupByDataCentre(service).get(anchor?.dataCentre ?? '') ?? [], model);
     },
   };
 }
--- a/packages/entry/src/dispatch/chainChoice.ts
+++ b/packages/entry/src/dispatch/chainChoice.ts
@@ -1,4 +1,4 @@
-/** Choice of a chain for a stream among those of all data centres, by their load. */
+/** Selects a chain for a stream among those of all data centres, by load. */
 import type { ModelDescription, PathStage } from '@spoolplank/routing';
 import type { Random } from '@spoolplank/shared';
 import { createChainCatalog } from './chainCatalog';
@@ -11,44 +11,45 @@
   readonly view: RoutingView;
   readonly random: Random;
   readonly dataCentre: string;
-  /** Requests of this entry in flight on the chain that begins with an engine. */
+  /** Requests that this entry has in flight on the chain with the given first engine. */
   readonly ownInFlight: (headId: string) => number;
-  /** Entries that share the chains, this one included. */
+  /** Number of entries that share the chains, including this one. */
   readonly entries: () => number;
-  /** Requests that other entries have probably begun there and not reported yet. */
+  /** Estimate of the requests that other entries have started there but not reported yet. */
   readonly unseenInFlight: (headId: string) => number;
-  /** Recent time to a first event on the chain that begins with an engine, in milliseconds. */
+  /** Recent time to first event on the chain with the given first engine, in milliseconds. */
   readonly firstEventMs: (headId: string) => number;
-  /** Engines to leave out for now, by instance. */
+  /** Whether an engine is excluded for now, by instance id. */
   readonly isAvoided: (instanceId: string) => boolean;
-  /** Time until this VM may send something to an engine, in milliseconds; 0 when it may now. */
+  /** Remaining backoff of an engine towards this VM, in milliseconds; 0 when there is none. */
   readonly backoffMsOf: (instanceId: string) => number;
-  /** Whether this VM may send to a first engine by itself, whatever limit that one named. */
+  /** Whether this VM may send to a first engine without a permit from the allocator. */
   readonly maySendAlone: (headId: string) => boolean;
 }
 
 export interface ChosenChain {
   readonly dataCentre: string;
-  /** The engine that the chain begins with; it names the chain. */
+  /** First engine of the chain, which identifies the chain. */
   readonly headId: string;
   readonly stages: readonly PathStage[];
-  /** Requests that its memory and its first engine hold. */
+  /** Requests that fit into its memory and into the slots of its first engine. */
   readonly capacity: number;
-  /** Requests in flight there, as far as known. */
+  /** Requests in flight there, as far as this entry knows. */
   readonly inFlight: number;
-  /** The VM that gave out the slot; null where this one decided by itself. */
+  /** VM that granted the slot; null when this VM selected the chain itself. */
   readonly grantedBy: string | null;
-  /** Whether the slot is a permit for the rate that the first engine named. */
+  /** Whether the slot includes a permit under the rate limit that the first engine named. */
   readonly hasPermit: boolean;
-  /** Whether a new stream may go there. */
+  /** Whether the chain can take a new stream. */
   readonly hasRoom: boolean;
-  /** Whether the rest of a begun stream may go there: what new ones leave free is for these. */
+  /** Whether the chain can take a resumed stream; these may also use the reserved share. */
   readonly hasRoomForBegun: boolean;
 }
 
 export interface ChainChoice {
   /**
-   * The chain for a new stream, in any data centre by default; undefined when none has all layers.
+   * Selects a chain for a new stream, by default in any data centre; undefined when no chain covers
+   * all layers.
    */
   choose(
     service: string,
@@ -57,19 +58,17 @@
     isWanted?: (dataCentre: string) => boolean,
   ): ChosenChain | undefined;
   /**
-   * Time until this VM may use a chain of a service, in milliseconds; 0 when it may use one now, or
-   * there is none at all.
+   * Time until one chain of a service is out of backoff, in milliseconds; 0 when one is already, or
+   * when there is none at all.
    */
   backoffEndsInMs(
     service: string,
     model: ModelDescription,
     excludedHeads: ReadonlySet<string>,
   ): number;
-  /**
-   * The chains of a data centre, whatever their load, and whether an engine of theirs backs off.
-   */
+  /** All chains of a data centre, including those that are full or have an engine in backoff. */
   listOf(service: string, model: ModelDescription, dataCentre: string): readonly RatedChain[];
-  /** Another path for a running stream that keeps its first stage; undefined without one. */
+  /** Finds another path for a running stream that keeps its first stage. */
   readonly repair: PathRepair;
 }
 
@@ -81,26 +80,27 @@
 
 interface Candidate {
   readonly chain: ChosenChain;
-  /** Its load and distance; a full chain of this data centre costs 1. */
+  /** Load, distance and latency combined; a full chain of this data centre costs 1. */
   readonly cost: number;
   readonly isLocal: boolean;
 }
 
-/** What the way to another data centre counts for, as a share of a chain's capacity. */
+/** Cost of sending to another data centre, as a share of a chain's capacity. */
 const REMOTE_PENALTY = 0.25;
-/** Share of a chain that new streams may take altogether; the rest is for those that have begun. */
-const ADMITTED_SHARE = 0.92;
+/** Share of a chain that new streams may occupy; the rest is reserved for resumed streams. */
+const NEW_STREAM_SHARE = 0.92;
 /**
- * Share up to which an entry takes more than its own quota: what it knows of the others is up to
- * two seconds old, and a chain that is overfilled puts requests back and reads them again.
+ * Load of a chain up to which an entry may exceed its own quota. What it knows of other entries'
+ * load is up to two seconds old, and an overfilled chain preempts requests and repeats their
+ * prefill.
  */
-const LENT_SHARE = 0.8;
-/** A first event that takes so long counts as much as a chain that is full. */
+const BORROWING_SHARE = 0.8;
+/** A time to first event of this length costs as much as a full chain. */
 const SLOW_FIRST_EVENT_MS = 500;
 
 /**
- * Two candidates drawn at random are compared rather than all: what entries know of each other's
- * load is up to a second old, and all of them together would fill the one that looked empty.
+ * Draws two candidates at random instead of comparing all of them. Entries know each other's load
+ * only up to a second late, so all of them would overfill the one chain that looked empty.
  *
  * Source: Mitzenmacher, "The power of two choices in randomized load balancing", 2001.
  */
@@ -129,15 +129,15 @@
     const reported = own + view.othersInFlight(headId);
     const inFlight = reported + options.unseenInFlight(headId);
     const isLocal = dataCentre === options.dataCentre;
-    const slowness = options.firstEventMs(headId) / SLOW_FIRST_EVENT_MS;
-    const cost = inFlight / Math.max(1, capacity) + (isLocal ? 0 : REMOTE_PENALTY) + slowness;
-    const admitted = capacity * ADMITTED_SHARE;
-    // An entry's own quota of a chain is free whatever it knows of the others: all the parts
-    // together are no more than the chain holds. Beyond it, it takes what others seem to leave.
-    const ownQuota = admitted / Math.max(1, options.entries());
-    const hasRoom = own < ownQuota || inFlight < capacity * LENT_SHARE;
+    const latencyCost = options.firstEventMs(headId) / SLOW_FIRST_EVENT_MS;
+    const cost = inFlight / Math.max(1, capacity) + (isLocal ? 0 : REMOTE_PENALTY) + latencyCost;
+    const newStreamCapacity = capacity * NEW_STREAM_SHARE;
+    // An entry may always use its own quota of a chain, because the quotas of all entries add up to
+    // no more than its capacity. Beyond the quota, it uses what the others appear to leave free.
+    const ownQuota = newStreamCapacity / Math.max(1, options.entries());
+    const hasRoom = own < ownQuota || inFlight < capacity * BORROWING_SHARE;
     const hasRoomForBegun = hasRoom || inFlight < capacity;
-    const rated = {
+    const chosen = {
       dataCentre,
       headId,
       stages,
@@ -148,7 +148,7 @@
       hasRoom,
       hasRoomForBegun,
     };
-    return { chain: rated, cost, isLocal };
+    return { chain: chosen, cost, isLocal };
   }
 
   function listChains(
@@ -164,7 +164,7 @@
     );
   }
 
-  /** Time until the last engine of a chain is done backing off. */
+  /** Time until no engine of a chain is in backoff. */
   function chainBackoffMs({ stages }: RatedChain): number {
     return stages.reduce((longestMs, { id }) => Math.max(longestMs, backoffMsOf(id)), 0);
   }
@@ -174,7 +174,7 @@
     model: ModelDescription,
     excludedHeads: ReadonlySet<string>,
   ): readonly Candidate[] {
-    // A backoff concerns this VM only: the chains that are found are the same for all.
+    // A backoff applies to this VM only, so the catalog does not depend on it.
     return listChains(service, model, excludedHeads)
       .filter(({ chain }) => chainBackoffMs(chain) === 0 && options.maySendAlone(chain.headId))
       .map(({ chain, dataCentre }) => toCandidate(chain, dataCentre));
@@ -194,9 +194,9 @@
       );
       const local = candidates.filter(({ isLocal }) => isLocal);
       const remote = candidates.filter(({ isLocal }) => !isLocal);
-      const drawn = findCheapest([...pickTwo(local, random), ...pickTwo(remote, random)]);
-      // Nobody is refused while any chain has room.
-      if (drawn?.chain.hasRoom) return drawn.chain;
+      const sampled = findCheapest([...pickTwo(local, random), ...pickTwo(remote, random)]);
+      // No stream is refused while any chain has capacity left.
+      if (sampled?.chain.hasRoom) return sampled.chain;
       const withRoom = candidates.filter(({ chain }) => chain.hasRoom);
       return (findCheapest(withRoom) ?? findCheapest(candidates))?.chain;
     },
--- a/packages/entry/src/dispatch/eventSplitter.ts
+++ b/packages/entry/src/dispatch/eventSplitter.ts
@@ -1,19 +1,19 @@
 /**
- * Splits a stream of server-sent events into whole events, so that a stream which breaks
- * inside an event can go on elsewhere after the last whole one.
+ * Splits a stream of server-sent events at event boundaries, so that a stream that breaks inside
+ * an event can be resumed elsewhere after the last complete one.
  */
 export interface EventSplitter {
-  /** Takes in bytes and returns those that complete events; empty when none is complete. */
+  /** Buffers bytes and returns all complete events; empty when none is complete. */
   push(bytes: Buffer): Buffer;
-  /** Id of the last whole event returned; null before the first one that has an id. */
+  /** Id of the last complete event returned; null before the first one that has an id. */
   readonly lastEventId: string | null;
-  /** Whether bytes of an unfinished event are kept. */
-  readonly hasBackoff: boolean;
-  /** What is left at the end of a stream that ended regularly. */
-  takeBackoff(): Buffer;
+  /** Whether bytes of an incomplete event are buffered. */
+  readonly hasPartialEvent: boolean;
+  /** Returns and clears the buffered bytes, for a stream that ended without a final blank line. */
+  takePartialEvent(): Buffer;
 }
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BUFFER = Buffer.alloc(0);
 const EVENT_END = '\n\n';
 const ID_FIELD = 'id:';
 
@@ -27,31 +27,31 @@
 }
 
 export function createEventSplitter(): EventSplitter {
-  let rest: Buffer = NOTHING;
+  let partial: Buffer = EMPTY_BUFFER;
   let lastEventId: string | null = null;
   return {
     get lastEventId() {
       return lastEventId;
     },
-    get hasBackoff() {
-      return rest.length > 0;
+    get hasPartialEvent() {
+      return partial.length > 0;
     },
     push(bytes) {
-      const all = rest.length ? Buffer.concat([rest, bytes]) : bytes;
-      const at = all.lastIndexOf(EVENT_END);
+      const buffered = partial.length ? Buffer.concat([partial, bytes]) : bytes;
+      const at = buffered.lastIndexOf(EVENT_END);
       if (at < 0) {
-        rest = all;
-        return NOTHING;
+        partial = buffered;
+        return EMPTY_BUFFER;
       }
       const end = at + EVENT_END.length;
-      const whole = all.subarray(0, end);
-      rest = end < all.length ? all.subarray(end) : NOTHING;
-      lastEventId = findLastId(whole.toString('latin1')) ?? lastEventId;
-      return whole;
+      const complete = buffered.subarray(0, end);
+      partial = end < buffered.length ? buffered.subarray(end) : EMPTY_BUFFER;
+      lastEventId = findLastId(complete.toString('latin1')) ?? lastEventId;
+      return complete;
     },
-    takeBackoff() {
-      const last = rest;
-      rest = NOTHING;
+    takePartialEvent() {
+      const last = partial;
+      partial = EMPTY_BUFFER;
       return last;
     },
   };
--- a/packages/entry/src/dispatch/guardedOperations.ts
+++ b/packages/entry/src/dispatch/guardedOperations.ts
@@ -1,6 +1,6 @@
 /**
- * The operations with backend servers, checked once more before anything is sent: since the server
- * was chosen, it may have asked for a backoff, announced that it leaves, or named a limit.
+ * Wraps the backend operations with a last check before anything is sent: since it was chosen, the
+ * server may have asked for a backoff, announced its departure, or named a rate limit.
  */
 import { SpoolplankError } from '@spoolplank/shared';
 import type { Clock } from '@spoolplank/shared';
@@ -20,8 +20,8 @@
 ): BackendOperations {
   const { backoffs } = notices;
 
-  /** Why a request is not to be sent; null when it may be. */
-  function reasonAgainst({ target, hasPermit }: BackendCall): ClosedReason | null {
+  /** Why a request must not be sent now; null when it may be. */
+  function findClosedReason({ target, hasPermit }: BackendCall): ClosedReason | null {
     const closed = notices.closedReason(target.instanceId);
     if (closed !== null || hasPermit || limits.perSOf(target.instanceId) === null) return closed;
     return limits.takeOwnQuota(target.instanceId) ? null : 'limit';
@@ -36,7 +36,7 @@
     onNotice: (listener) => operations.onNotice(listener),
     async open(call) {
       const { target } = call;
-      const reason = reasonAgainst(call);
+      const reason = findClosedReason(call);
       if (reason !== null) throw refuse(target, reason);
       backoffs.recordSent(target.instanceId);
       const sentAtMs = clock.steadyMs();
@@ -48,10 +48,10 @@
       if (backoffs.isBackingOff(target.instanceId)) throw refuse(target, 'backoff');
       return operations.report(target, timeoutMs);
     },
-    // A connection over which nothing is sent asks nothing of the server.
+    // A bare connection sends no request, so a backoff does not apply to it.
     isReachable: (address, timeoutMs) => operations.isReachable(address, timeoutMs),
     async repair(target, requestId, stages, timeoutMs) {
-      // Streams that run over a leaving engine go on, and may be repaired there.
+      // Streams continue on an engine that is leaving and may be repaired there.
       if (backoffs.isBackingOff(target.instanceId)) {
         return { kind: 'failed', problem: refuse(target, 'backoff').message };
       }
--- a/packages/entry/src/dispatch/plainDispatch.ts
+++ b/packages/entry/src/dispatch/plainDispatch.ts
@@ -1,4 +1,4 @@
-/** Requests to plain services: one backend server, or another one where that is allowed. */
+/** Dispatches requests to plain services, with retries on other backend servers where allowed. */
 import { finished } from 'node:stream/promises';
 import type { BackendFact } from '@spoolplank/membership';
 import { delay } from '@spoolplank/node';
@@ -13,7 +13,7 @@
 import type { RequestContent } from '../quarantine/requestContent';
 import { createBackoffWaits } from '../admission/backoffWaits';
 
-/** What came of sending a request to one backend server. */
+/** Result of an attempt to send a request to one backend server. */
 type AttemptResult =
   | {
       readonly kind: 'answered';
@@ -21,78 +21,81 @@
       readonly headers: RawHeaders;
       readonly body: Buffer;
     }
-  /** It has not run there. */
+  /** The request has not run there. */
   | {
       readonly kind: 'not-run';
       readonly problem: string;
-      /** How long it wants nothing from this VM, in milliseconds; null where it does not say. */
+      /** Backoff that the server asked for, in milliseconds; null when it asked for none. */
       readonly backoffMs: number | null;
     }
-  /** Nothing was sent: the server asked for a backoff, or said that it leaves, after the choice. */
+  /** Nothing was sent: after it was chosen, the server asked for a backoff or began to leave. */
   | { readonly kind: 'held-back'; readonly problem: string }
-  /** It may have run there, and there is no answer to pass on. */
+  /** The request may have run there, and there is no response to pass on. */
   | {
       readonly kind: 'unknown';
       readonly problem: string;
-      /** How long it ran until its connection broke; null when it was given up here. */
-      readonly brokeAfterMs: number | null;
+      /** Time until the connection broke; null when this entry aborted the attempt. */
+      readonly brokenAfterMs: number | null;
     };
 
-/** An attempt for which something was sent. */
-type MadeAttempt = Exclude<AttemptResult, { readonly kind: 'held-back' }>;
+/** Result of an attempt for which the request was sent. */
+type SentAttempt = Exclude<AttemptResult, { readonly kind: 'held-back' }>;
 
-/** An answer is given so long before the time-out, so that it arrives before it. */
+/** Time before the caller's timeout at which an attempt is aborted, so that the error arrives. */
 const TIMEOUT_MARGIN_MS = 30;
-/** A connection inside a region takes a few milliseconds; a lost packet is sent again after 200. */
+/** A connection within a region takes a few ms; a lost packet is retransmitted after 200 ms. */
 const CONNECT_TIMEOUT_MS = 400;
-/** A repeatable request waits this many times its target before it is sent elsewhere too. */
-const PATIENCE_FACTOR = 2.5;
-/** Rejections that one request may meet before it is refused. */
+/** Multiple of the target latency after which a safe request is retried on another server. */
+const ATTEMPT_TIMEOUT_FACTOR = 2.5;
+/** Number of `not-run` rejections after which a request is refused. */
 const MAX_REJECTIONS = 3;
-/**
- * Choices that came just before their server asked for a backoff; each is made with what was heard.
- */
+/** Choices of a server that closes just before the send; each next choice uses the newer state. */
 const MAX_HELD_BACK = 4;
-/** Greatest answer that is held back until it is whole. */
+/** Largest response that is buffered. */
 const MAX_ANSWER_BYTES = 16_777_216;
-const HIGHEST_GOOD_STATUS = 499;
-/** From here on the backend server did not do what was asked. */
-const LEAST_UNDONE_STATUS = 300;
-/** A closed port is seen within 2 to 6 ms; a silent one is not waited for, see streamDispatch. */
-const MAX_EVIDENCE_WAIT_MS = 50;
+/** Highest status that is passed on without a retry. */
+const MAX_FINAL_STATUS = 499;
+/** Lowest status with which a backend server reports that it did not do what was asked. */
+const MIN_UNSUCCESSFUL_STATUS = 300;
+/**
+ * A closed port is detected within 2 to 6 ms; an unresponsive one is not waited for, see
+ * `streamDispatch`.
+ */
+const MAX_CRASH_EVIDENCE_WAIT_MS = 50;
 
-/** What came of an attempt that had no answer. */
-function explain(
+/** Maps the error of an attempt without a response to its result. */
+function classifyError(
   { code, outcome, message }: SpoolplankError,
-  brokeAfterMs: number | null,
+  brokenAfterMs: number | null,
 ): AttemptResult {
   if (code === 'server-closed') return { kind: 'held-back', problem: message };
   if (outcome === 'not-run') return { kind: 'not-run', problem: message, backoffMs: null };
-  return { kind: 'unknown', problem: message, brokeAfterMs };
+  return { kind: 'unknown', problem: message, brokenAfterMs };
 }
 
-async function readWhole(response: BackendResponse): Promise<Buffer> {
-  const pieces: Buffer[] = [];
+async function readBody(response: BackendResponse): Promise<Buffer> {
+  const chunks: Buffer[] = [];
   let bytes = 0;
   response.body.on('data', (piece: Buffer) => {
     bytes += piece.length;
-    pieces.push(piece);
-    if (bytes > MAX_ANSWER_BYTES) response.body.destroy(new Error('the answer is too large'));
+    chunks.push(piece);
+    if (bytes > MAX_ANSWER_BYTES) response.body.destroy(new Error('response body exceeds 16 MiB'));
   });
   await finished(response.body, { writable: false });
-  return Buffer.concat(pieces);
+  return Buffer.concat(chunks);
 }
 
-/** Whether the backend server ran it to its good end, and lives. */
-function isGood(result: AttemptResult): boolean {
-  return result.kind === 'answered' && result.status < LEAST_UNDONE_STATUS;
+/** Whether the backend server completed the request and survived it. */
+function isSuccess(result: AttemptResult): boolean {
+  return result.kind === 'answered' && result.status < MIN_UNSUCCESSFUL_STATUS;
 }
 
 /**
- * Whether the server said itself how long to leave it alone: one that fails again and again is left
- * out for 5 s, which would keep it idle after a shorter backoff.
+ * Whether the server announced itself when to send again. Such an attempt is not counted as a
+ * failure: repeated failures exclude a server for 5 s, which would keep it idle after a shorter
+ * backoff.
  */
-function hasSaidWhen(result: AttemptResult): boolean {
+function hasAnnouncedBackoff(result: AttemptResult): boolean {
   return result.kind === 'held-back' || (result.kind === 'not-run' && result.backoffMs !== null);
 }
 
@@ -100,7 +103,7 @@
   /**
    * Serves a request.
    *
-   * @throws SpoolplankError that the caller is to be refused with.
+   * @throws SpoolplankError to refuse the caller with.
    */
   run(admitted: AdmittedRequest): Promise<RequestEnd>;
 }
@@ -110,7 +113,10 @@
   const servers = createPlainServers(context, permits);
   const backoffWaits = createBackoffWaits({ clock, delay, backoffs: notices.backoffs });
 
-  async function judge(response: BackendResponse, backend: BackendFact): Promise<AttemptResult> {
+  async function classifyResponse(
+    response: BackendResponse,
+    backend: BackendFact,
+  ): Promise<AttemptResult> {
     const { status, headers, problem, isNotRun, load } = response;
     if (load) {
       const sequence = Math.ceil(clock.nowMs());
@@ -123,23 +129,26 @@
     }
     if (problem !== null) {
       response.body.destroy();
-      return { kind: 'unknown', problem, brokeAfterMs: null };
+      return { kind: 'unknown', problem, brokenAfterMs: null };
     }
-    return { kind: 'answered', status, headers, body: await readWhole(response) };
+    return { kind: 'answered', status, headers, body: await readBody(response) };
   }
 
   async function attempt(
     { request, organisation, endsAtMs, route }: AdmittedRequest,
     { backend, permit }: ChosenServer,
-    canRepeat: boolean,
+    canRetry: boolean,
     abort: AbortController,
   ): Promise<AttemptResult> {
     const startedAtMs = clock.nowMs();
     const remainingMs = endsAtMs - startedAtMs;
-    const patienceMs = canRepeat
-      ? Math.min(remainingMs, route.targetLatencyMs * PATIENCE_FACTOR)
+    const attemptTimeoutMs = canRetry
+      ? Math.min(remainingMs, route.targetLatencyMs * ATTEMPT_TIMEOUT_FACTOR)
       : remainingMs;
-    const timer = setTimeout(() => abort.abort(), Math.max(1, patienceMs - TIMEOUT_MARGIN_MS));
+    const timer = setTimeout(
+      () => abort.abort(),
+      Math.max(1, attemptTimeoutMs - TIMEOUT_MARGIN_MS),
+    );
     loads.start(backend.instanceId);
     let result: AttemptResult;
     try {
@@ -153,16 +162,16 @@
         connectTimeoutMs: CONNECT_TIMEOUT_MS,
         hasPermit: permit !== null,
       });
-      result = await judge(response, backend);
+      result = await classifyResponse(response, backend);
     } catch (error) {
-      const brokeAfterMs = abort.signal.aborted ? null : clock.nowMs() - startedAtMs;
-      result = explain(toSpoolplankError(error), brokeAfterMs);
+      const brokenAfterMs = abort.signal.aborted ? null : clock.nowMs() - startedAtMs;
+      result = classifyError(toSpoolplankError(error), brokenAfterMs);
     } finally {
       clearTimeout(timer);
       if (permit) permits.end(permit);
     }
     const nowMs = clock.nowMs();
-    if (hasSaidWhen(result)) {
+    if (hasAnnouncedBackoff(result)) {
       loads.cancel(backend.instanceId);
       return result;
     }
@@ -171,14 +180,17 @@
     return result;
   }
 
-  /** What a plain server ran when it ended is all in the same state: each of them is suspected. */
-  async function recordBroken(
+  /**
+   * Records a run whose server crashed. All requests that were running on a plain server are in the
+   * same state, so each of them is suspected.
+   */
+  async function recordBrokenRun(
     content: RequestContent,
     { instanceId, address }: BackendFact,
     ranMs: number,
   ): Promise<void> {
     const run = { content: digestContent(content), instanceId, address, ranMs };
-    await Promise.race([crashes.record(run), delay(MAX_EVIDENCE_WAIT_MS)]);
+    await Promise.race([crashes.record(run), delay(MAX_CRASH_EVIDENCE_WAIT_MS)]);
   }
 
   return {
@@ -193,9 +205,9 @@
       let runs = 0;
       let rejections = 0;
       let heldBack = 0;
-      /** The first attempt needs no leave; one that was given and not used holds for the next. */
-      let hasLeave = true;
-      let last: MadeAttempt | null = null as MadeAttempt | null;
+      /** The first attempt spends no retry budget; a held-back attempt passes its grant on. */
+      let isAttemptGranted = true;
+      let last: SentAttempt | null = null as SentAttempt | null;
       let servedBy: readonly string[] = [];
 
       const end = (outcome: RequestEnd['outcome'], status: number): RequestEnd => ({
@@ -206,19 +218,19 @@
         firstByteMs: clock.nowMs() - request.arrivedAtMs,
       });
       const mayRunAgain = () => runs < route.maxAttempts && (runs === 0 || route.kind === 'safe');
-      const isWorthRepeating = (result: AttemptResult) =>
-        result.kind !== 'answered' || result.status > HIGHEST_GOOD_STATUS;
+      const isRetryable = (result: AttemptResult) =>
+        result.kind !== 'answered' || result.status > MAX_FINAL_STATUS;
 
-      /** Takes in what came of an attempt; whether another one is worth it. */
-      async function takeResult(result: MadeAttempt, backend: BackendFact): Promise<boolean> {
+      /** Records the result of an attempt; resolves with whether to try another one. */
+      async function handleResult(result: SentAttempt, backend: BackendFact): Promise<boolean> {
         if (result.kind === 'not-run') rejections += 1;
         else runs += 1;
-        // An answer that came is kept while another one is tried for.
+        // A received response is kept as a fallback for later attempts that get none.
         if (result.kind === 'answered' || last?.kind !== 'answered') last = result;
-        if (isGood(result)) quarantine.recordServed(content);
-        if (!isWorthRepeating(result)) return false;
-        if (result.kind === 'unknown' && result.brokeAfterMs !== null) {
-          await recordBroken(content, backend, result.brokeAfterMs);
+        if (isSuccess(result)) quarantine.recordServed(content);
+        if (!isRetryable(result)) return false;
+        if (result.kind === 'unknown' && result.brokenAfterMs !== null) {
+          await recordBrokenRun(content, backend, result.brokenAfterMs);
         }
         log.info('attempt-failed', {
           requestId: request.id,
@@ -234,7 +246,7 @@
       }
 
       for (;;) {
-        // Once it may have run, it cannot be refused as not run.
+        // A request that may have run cannot be refused as not run, so it does not wait here.
         if (runs === 0 && servers.backoffEndsInMs(service, excluded) > 0) {
           await backoffWaits.wait(admitted, () => servers.backoffEndsInMs(service, excluded));
         }
@@ -246,13 +258,13 @@
           mayRunAgain() &&
           rejections < MAX_REJECTIONS &&
           heldBack < MAX_HELD_BACK &&
-          (hasLeave || (quarantine.maySendOn(content) && budget.spend()));
+          (isAttemptGranted || (quarantine.maySendOn(content) && budget.spend()));
         const ticket = `${request.id}/${runs + rejections + heldBack}`;
         const search = { admitted, ticket, excluded, mayWait: runs === 0 };
         const server = canSend ? await servers.find(search) : undefined;
         if (!server) break;
         const { backend } = server;
-        // Servers may have ended under it elsewhere while it waited here.
+        // Servers may have crashed on this content elsewhere while the request waited.
         if (runs === 0) quarantine.check(content);
         if (isFirst) budget.earn();
         excluded.add(backend.instanceId);
@@ -261,11 +273,11 @@
         const canRepeat = route.kind === 'safe' && runs + 1 < route.maxAttempts;
         crashes.recordSend(content, backend);
         const result = await attempt(admitted, server, canRepeat, current);
-        hasLeave = result.kind === 'held-back';
+        isAttemptGranted = result.kind === 'held-back';
         if (result.kind === 'held-back') {
           excluded.delete(backend.instanceId);
           heldBack += 1;
-        } else if (!(await takeResult(result, backend))) {
+        } else if (!(await handleResult(result, backend))) {
           break;
         }
       }
@@ -273,7 +285,7 @@
       if (answer.isClosed) return end('caller-left', 0);
       if (last?.kind === 'answered') {
         answer.send(last.status, last.headers, last.body);
-        return end(last.status > HIGHEST_GOOD_STATUS ? 'failed-there' : 'served', last.status);
+        return end(last.status > MAX_FINAL_STATUS ? 'failed-there' : 'served', last.status);
       }
       if (runs === 0) {
         throw new SpoolplankError('no-backend-server', {
--- a/packages/entry/src/dispatch/plainServers.ts
+++ b/packages/entry/src/dispatch/plainServers.ts
@@ -1,4 +1,4 @@
-/** Which plain server a request is sent to, and when one may be sent something again. */
+/** Selects the plain server for a request, and tells when one is out of backoff. */
 import type { BackendFact } from '@spoolplank/membership';
 import { selectCandidate } from '@spoolplank/routing';
 import { SpoolplankError } from '@spoolplank/shared';
@@ -8,49 +8,52 @@
 /** A server to send a request to. */
 export interface ChosenServer {
   readonly backend: BackendFact;
-  /** Leave to send it one request; null where it needs none. */
+  /** Permit to send the server one request; null when none is needed. */
   readonly permit: Permit | null;
 }
 
 export interface PlainServers {
   /**
-   * The less loaded of two that may be sent a request which was not there yet. One that named a
-   * limit takes a permit, for which a request waits only where no other server is left.
+   * Finds the less loaded of two available servers that the request has not been sent to. A server
+   * that named a rate limit requires a permit; the request waits for one only when no other server
+   * is left.
    *
-   * @throws SpoolplankError that says when it is the caller's turn; the request has not run.
+   * @throws SpoolplankError with the time to retry after; the request has not run.
    */
   find(search: PermitSearch): Promise<ChosenServer | undefined>;
-  /** Time until one of them may be sent something; 0 when one may be now, or none is left. */
+  /** Time until one of the servers is out of backoff; 0 when one is now, or none is left. */
   backoffEndsInMs(service: string, excluded: ReadonlySet<string>): number;
-  /** When the caller of a request that no server ran is to come back, in milliseconds. */
+  /** Time after which the caller of a request that no server ran should retry, in milliseconds. */
   retryAfterMs(service: string): number;
 }
 
-/** Servers that were full a moment ago have room again within some ten runs of 15 ms. */
+/** A full server has capacity again after about ten runs of 15 ms. */
 const RETRY_AFTER_MS = 150;
-const NONE_EXCLUDED: ReadonlySet<string> = new Set();
+const NO_EXCLUSIONS: ReadonlySet<string> = new Set();
 
 export function createPlainServers(context: EntryContext, permits: PermitFinder): PlainServers {
   const { clock, loads, random, view, dataCentre, notices, limits } = context;
   const { backoffs } = notices;
 
-  function listLeft(service: string, excluded: ReadonlySet<string>): readonly BackendFact[] {
+  function listRemaining(service: string, excluded: ReadonlySet<string>): readonly BackendFact[] {
     return view.listBackends(service).filter(({ instanceId }) => !excluded.has(instanceId));
   }
 
-  /** Those that may be sent something now, but for what they named a limit of. */
-  function listOpen(service: string, excluded: ReadonlySet<string>): readonly BackendFact[] {
-    return listLeft(service, excluded).filter(({ instanceId }) => !backoffs.isHeldBack(instanceId));
+  /** Servers that are not in backoff; a rate limit may still apply to them. */
+  function listAvailable(service: string, excluded: ReadonlySet<string>): readonly BackendFact[] {
+    return listRemaining(service, excluded).filter(
+      ({ instanceId }) => !backoffs.isHeldBack(instanceId),
+    );
   }
 
   function backoffEndsInMs(service: string, excluded: ReadonlySet<string>): number {
-    const backoffsMs = listLeft(service, excluded).map(({ instanceId }) =>
+    const backoffsMs = listRemaining(service, excluded).map(({ instanceId }) =>
       backoffs.remainingMs(instanceId),
     );
     return backoffsMs.length === 0 ? 0 : Math.min(...backoffsMs);
   }
 
-  /** Whether a server named a limit to this VM, or to one that this VM has heard from. */
+  /** Whether a server named a rate limit to this VM, or to another VM that reported it. */
   function isLimited({ instanceId }: BackendFact): boolean {
     return limits.perSOf(instanceId) !== null || view.limitPerSOf(instanceId) !== null;
   }
@@ -61,7 +64,7 @@
       dataCentre: fact.dataCentre,
       fact,
     }));
-    const request = { dataCentre, excluded: NONE_EXCLUDED, nowMs: clock.nowMs() };
+    const request = { dataCentre, excluded: NO_EXCLUSIONS, nowMs: clock.nowMs() };
     return selectCandidate(candidates, request, loads, random)?.fact;
   }
 
@@ -81,37 +84,40 @@
     if (outcome.kind === 'permitted') return toServer(outcome.permit, limited);
     if (outcome.kind === 'refused') {
       const retryAfterMs = outcome.retryInMs ?? RETRY_AFTER_MS;
-      const detail = 'All servers named limits, and more requests wait for them already.';
+      const detail = 'All servers named rate limits, and the queue for their permits is full.';
       throw new SpoolplankError('overloaded', { detail, retryAfterMs });
     }
-    const own = select(limited.filter(({ instanceId }) => limits.maySendAlone(instanceId)));
-    return own && { backend: own, permit: null };
+    const unpermitted = select(limited.filter(({ instanceId }) => limits.maySendAlone(instanceId)));
+    return unpermitted && { backend: unpermitted, permit: null };
   }
 
   return {
     async find(search) {
       const { admitted, excluded } = search;
-      let open = listOpen(admitted.service, excluded);
+      let open = listAvailable(admitted.service, excluded);
       const limited: BackendFact[] = [];
       for (;;) {
         const chosen = select(open);
         if (!chosen) break;
         if (!isLimited(chosen)) return { backend: chosen, permit: null };
-        // One account has the permits of all servers of a data centre.
-        const beside = open.filter(
+        // One allocator grants the permits for all servers of a data centre.
+        const limitedInDataCentre = open.filter(
           (fact) => fact.dataCentre === chosen.dataCentre && isLimited(fact),
         );
-        const server = toServer(await permits.look(search, beside), beside);
+        const server = toServer(
+          await permits.look(search, limitedInDataCentre),
+          limitedInDataCentre,
+        );
         if (server) return server;
-        limited.push(...beside);
-        open = open.filter((fact) => !beside.includes(fact));
+        limited.push(...limitedInDataCentre);
+        open = open.filter((fact) => !limitedInDataCentre.includes(fact));
       }
       const canWait = limited.length > 0 && search.mayWait;
       return canWait ? waitForPermit(search, limited) : undefined;
     },
     backoffEndsInMs,
     retryAfterMs(service) {
-      const backoffMs = backoffEndsInMs(service, NONE_EXCLUDED);
+      const backoffMs = backoffEndsInMs(service, NO_EXCLUSIONS);
       return backoffMs === 0 ? RETRY_AFTER_MS : backoffs.retryAfterMs(service, backoffMs);
     },
   };
--- a/packages/entry/src/dispatch/serverNotices.ts
+++ b/packages/entry/src/dispatch/serverNotices.ts
@@ -1,6 +1,6 @@
 /**
- * Backoffs and departures that backend servers announced to this VM, and the sends that are held
- * back because of them. They apply here without any other VM. See docs/design/server-backoff.md.
+ * Tracks the backoffs and departures that backend servers announced to this VM, and holds sends
+ * back accordingly. This needs no other VM. See docs/design/server-backoff.md.
  */
 import { FACT_KEYS, isLeaving, stateLeaving } from '@spoolplank/membership';
 import type {
@@ -22,39 +22,39 @@
   readonly metrics: Metrics;
   readonly table: FactTable<SystemFact>;
   readonly findByAddress: RoutingView['findByAddress'];
-  /** Makes what this VM states known to others at once. */
+  /** Sends the statements of this VM to others at once. */
   readonly spread: () => void;
-  /** Called with each backoff that a server asks this process for. */
+  /** Called with each backoff that a server requests from this process. */
   readonly onBackoff?: (directive: BackoffDirective) => void;
 }
 
-/** Why nothing is sent to a server now. */
+/** Why a server is sent nothing now. */
 export type ClosedReason = 'backoff' | 'leaves' | 'limit';
 
 export interface ServerNotices {
   readonly backoffs: BackoffTable;
-  /** Takes in what a server said. */
+  /** Applies a notice that a server attached to a response. */
   take(notice: ServerNotice): void;
-  /** Takes in a backoff that a server asked the other process of this VM for. */
+  /** Applies a backoff that a server requested from the other process of this VM. */
   recordBackoff(directive: BackoffDirective): void;
-  /** Why a request is not to be sent to a server; null when it may be. */
+  /** Why a server must not be sent a request now; null when it may be. */
   closedReason(instanceId: string): ClosedReason | null;
   /**
-   * Servers that are sent nothing now, for VMs that choose on behalf of this one: they may learn of
-   * a departure later.
+   * Servers that are sent nothing now. VMs that choose a server on behalf of this one need the list
+   * because they may learn of a departure later.
    */
   listClosed(): readonly string[];
   /** Counts a send that was held back. */
   recordHeldBack(reason: ClosedReason): void;
-  /** What is to be stated with the next exchange. */
+  /** Statements to send with the next exchange. */
   listStatements(): readonly FactUpdate<SystemFact>[];
-  /** Forgets what is over. */
+  /** Removes expired entries. */
   sweep(): void;
   describe(): JsonValue;
 }
 
-/** Notices are repeated so long, for a control VM that was just exchanged. */
-const REPEAT_MS = 5000;
+/** Departures are stated for this long, in case this VM has just switched its control VM. */
+const STATEMENT_REPEAT_MS = 5000;
 
 export function createServerNotices(options: ServerNoticesOptions): ServerNotices {
   const { clock, log, metrics, table, findByAddress, onBackoff = () => {} } = options;
@@ -62,29 +62,30 @@
   const leavingSinceMs = new Map<string, number>();
 
   /**
-   * The engine that is named as at fault backs off as well as the one that answered: the first one
-   * asked for it, and paths over the other one would be turned away for the same reason.
+   * Instances that a backoff applies to: the engine that answered, because it asked for the
+   * backoff, and the engine that it named as the culprit, because paths over that one would be
+   * rejected for the same reason.
    */
-  function listBackingOff({ instanceId, culpritAddress }: ServerNotice): readonly string[] {
+  function listAffected({ instanceId, culpritAddress }: ServerNotice): readonly string[] {
     const culprit = culpritAddress === null ? undefined : findByAddress(culpritAddress)?.body;
     return culprit?.kind === 'backend' && culprit.instanceId !== instanceId
       ? [instanceId, culprit.instanceId]
       : [instanceId];
   }
 
-  function takeBackoff(notice: ServerNotice, backoffMs: number): void {
-    listBackingOff(notice).forEach((instanceId) => {
-      const hasBegun = backoffs.record(instanceId, backoffMs);
+  function applyBackoff(notice: ServerNotice, backoffMs: number): void {
+    listAffected(notice).forEach((instanceId) => {
+      const isFirst = backoffs.record(instanceId, backoffMs);
       onBackoff({ instanceId, backoffMs });
-      metrics.count('spoolplank_server_backoffs_total', { kind: hasBegun ? 'first' : 'repeated' });
-      // What was under way is turned away too: one line a backoff.
-      if (!hasBegun) return;
+      metrics.count('spoolplank_server_backoffs_total', { kind: isFirst ? 'first' : 'repeated' });
+      // Requests already on their way are rejected as well, so only the first one is logged.
+      if (!isFirst) return;
       const { status, requestId, address, instanceId: answeredBy } = notice;
       log.info('server-backoff', { instanceId, backoffMs, status, requestId, answeredBy, address });
     });
   }
 
-  function takeLeaving({ instanceId, address, status, requestId }: ServerNotice): void {
+  function applyLeaving({ instanceId, address, status, requestId }: ServerNotice): void {
     if (!stateLeaving(table, instanceId)) return;
     leavingSinceMs.set(instanceId, clock.nowMs());
     metrics.count('spoolplank_servers_leaving_total');
@@ -95,8 +96,8 @@
   return {
     backoffs,
     take(notice) {
-      if (notice.backoffMs !== null) takeBackoff(notice, notice.backoffMs);
-      if (notice.isLeaving) takeLeaving(notice);
+      if (notice.backoffMs !== null) applyBackoff(notice, notice.backoffMs);
+      if (notice.isLeaving) applyLeaving(notice);
     },
     recordBackoff: ({ instanceId, backoffMs }) => {
       backoffs.record(instanceId, backoffMs);
@@ -112,7 +113,7 @@
     listStatements() {
       const nowMs = clock.nowMs();
       return [...leavingSinceMs]
-        .filter(([, sinceMs]) => nowMs - sinceMs < REPEAT_MS)
+        .filter(([, sinceMs]) => nowMs - sinceMs < STATEMENT_REPEAT_MS)
         .flatMap(([instanceId]) => table.find(FACT_KEYS.leaving(instanceId)) ?? [])
         .map(({ key, sequence, receivedAtMs, body }) => ({
           key,
@@ -124,7 +125,7 @@
     sweep() {
       backoffs.sweep();
       leavingSinceMs.forEach((sinceMs, instanceId) => {
-        if (clock.nowMs() - sinceMs > REPEAT_MS) leavingSinceMs.delete(instanceId);
+        if (clock.nowMs() - sinceMs > STATEMENT_REPEAT_MS) leavingSinceMs.delete(instanceId);
       });
     },
     describe: () =>
--- a/packages/entry/src/dispatch/streamAttempt.ts
+++ b/packages/entry/src/dispatch/streamAttempt.ts
@@ -1,4 +1,4 @@
-/** One attempt at a stream: one chain, from the first byte sent to the end of its answer. */
+/** One attempt at a stream over one chain, from the first byte sent to the end of the response. */
 import { SpoolplankError, toSpoolplankError } from '@spoolplank/shared';
 import { isWholePath, sizeOfRequest } from '@spoolplank/routing';
 import type { ModelDescription, PathStage } from '@spoolplank/routing';
@@ -10,57 +10,57 @@
 import { contentOf } from '../quarantine/requestContent';
 import type { StreamCut, StreamRow, StreamTable } from './streamTable';
 
-/** What came of one attempt. */
+/** Result of one attempt. */
 export type StreamResult =
   | { readonly kind: 'whole'; readonly status: number }
-  /** It has not run. */
+  /** The request has not run. */
   | {
       readonly kind: 'not-run';
       readonly problem: string;
-      /** The engine that could not do its part, by address; null where none is named. */
+      /** Address of the engine that failed to run its stage; null when none is named. */
       readonly culprit: string | null;
-      /** How long it wants nothing from this VM, in milliseconds; null where it does not say. */
+      /** Backoff that the engine asked for, in milliseconds; null when it asked for none. */
       readonly backoffMs: number | null;
     }
-  /** It broke off, or was ended here; what the caller has of it stays. */
+  /** The stream broke off or was aborted here; the caller keeps the events it has received. */
   | {
       readonly kind: 'broken';
       readonly problem: string;
-      /** Another engine of the path was at fault. */
-      readonly isHeadFine: boolean;
+      /** Whether the fault lies with another engine than the first one. */
+      readonly isHeadHealthy: boolean;
       readonly run: BrokenRun;
     }
   /**
-   * Nothing was sent: its first engine asked for a backoff or said that it leaves, after the
-   * choice, or the path lacks layers.
+   * Nothing was sent: after the chain was chosen, its first engine asked for a backoff or began to
+   * leave, or the path does not cover all layers.
    */
   | { readonly kind: 'held-back'; readonly problem: string }
   | { readonly kind: 'caller-left' };
 
-/** How far an attempt had come when it broke off. */
+/** Progress of an attempt at the moment it broke off. */
 export interface BrokenRun {
-  /** Since it was sent. */
+  /** Time since the request was sent. */
   readonly ranMs: number;
-  /** Whether the engine had begun its answer. */
+  /** Whether the engine had sent the head of its response. */
   readonly hasAnswered: boolean;
-  /** Whether anything of the answer's body had come. */
+  /** Whether any part of the response body had arrived. */
   readonly hasBegun: boolean;
-  /** Whether it was ended here while its first engine was there, as far as known. */
+  /** Whether this entry aborted it while its first engine was alive, as far as known. */
   readonly wasCutHere: boolean;
 }
 
-/** What one request carries from attempt to attempt. */
+/** State that a request keeps across its attempts. */
 export interface StreamProgress {
   lastEventId: string | null;
   hasBegun: boolean;
   firstByteMs: number | null;
   status: number;
   servedBy: readonly string[];
-  /** The slot that it got last, and what was known of its chain then. */
+  /** The last slot that the request was given, with the load of its chain at that time. */
   slot: SlotDecision | null;
-  /** Time spent waiting for a chain with room, over all attempts. */
+  /** Time spent waiting for a chain with free capacity, over all attempts. */
   waitedMs: number;
-  /** When the last event was passed on; null before the first one. */
+  /** Time at which the last event was forwarded; null before the first one. */
   lastEventAtMs: number | null;
   longestPauseMs: number;
 }
@@ -68,20 +68,20 @@
 export interface StreamAttemptOptions {
   readonly context: EntryContext;
   readonly streams: StreamTable;
-  /** Probes an engine whose connection failed. */
+  /** Probes an engine after a failed connection. */
   readonly examine: (instanceId: string, address: string) => void;
 }
 
 export interface StreamAttempts {
-  /** Sends a stream, or the rest of one, over a chain; `progress` takes what came of it. */
+  /** Sends a stream, or the remainder of one, over a chain and updates `progress`. */
   attempt(search: SlotSearch, chain: ChosenChain, progress: StreamProgress): Promise<StreamResult>;
 }
 
-/** A connection inside a region takes 2 ms; one packet may be lost and sent again. */
+/** A connection within a region takes 2 ms; the limit allows one lost packet to be sent again. */
 const CONNECT_TIMEOUT_MS = 150;
-/** An answer is ended so long before the time-out, so that its end arrives before it. */
+/** Time before the caller's timeout at which a stream is ended, so that its end arrives in time. */
 export const TIMEOUT_MARGIN_MS = 30;
-export const HIGHEST_GOOD_STATUS = 299;
+export const MAX_SUCCESS_STATUS = 299;
 
 function describePath(stages: readonly PathStage[]): readonly string[] {
   return stages.map(({ id, firstLayer, endLayer }) => `${id}=${firstLayer}-${endLayer}`);
@@ -131,7 +131,7 @@
     progress.lastEventAtMs = nowMs;
   }
 
-  /** Passes whole events on until the stream ends; rejects when it breaks off. */
+  /** Forwards complete events until the stream ends; rejects when it breaks off. */
   function relay(
     row: StreamRow,
     response: BackendResponse,
@@ -141,7 +141,7 @@
     const splitter = createEventSplitter();
     const { body } = response;
     return new Promise((resolve, reject) => {
-      function passOn(piece: Buffer): void {
+      function forward(piece: Buffer): void {
         if (!progress.hasBegun) {
           answer.begin(response.status, response.headers);
           Object.assign(progress, {
@@ -169,16 +169,16 @@
           streams.recordFirstEvent(row.headId, clock.nowMs() - row.startedAtMs);
           context.quarantine.recordServed(contentOf(row.admitted));
         }
-        const whole = splitter.push(bytes);
-        if (whole.length > 0 && !answer.isClosed) passOn(whole);
+        const completeEvents = splitter.push(bytes);
+        if (completeEvents.length > 0 && !answer.isClosed) forward(completeEvents);
       });
       body.once('end', () => {
-        if (splitter.hasBackoff) passOn(splitter.takeBackoff());
-        else if (!progress.hasBegun) passOn(Buffer.alloc(0));
+        if (splitter.hasPartialEvent) forward(splitter.takePartialEvent());
+        else if (!progress.hasBegun) forward(Buffer.alloc(0));
         resolve();
       });
       body.once('error', reject);
-      body.once('close', () => reject(new Error('the connection closed')));
+      body.once('close', () => reject(new Error('connection closed before the end of the stream')));
     });
   }
 
@@ -188,7 +188,7 @@
     return { ranMs: clock.nowMs() - startedAtMs, hasAnswered, hasBegun, wasCutHere };
   }
 
-  async function judge(
+  async function classifyResponse(
     row: StreamRow,
     response: BackendResponse,
     progress: StreamProgress,
@@ -201,14 +201,14 @@
     }
     if (problem !== null) {
       response.body.destroy();
-      return { kind: 'broken', problem, isHeadFine: false, run: describeRun(row) };
+      return { kind: 'broken', problem, isHeadHealthy: false, run: describeRun(row) };
     }
-    if (status > HIGHEST_GOOD_STATUS && progress.hasBegun) {
+    if (status > MAX_SUCCESS_STATUS && progress.hasBegun) {
       response.body.destroy();
       return {
         kind: 'broken',
         problem: `status ${status}`,
-        isHeadFine: false,
+        isHeadHealthy: false,
         run: describeRun(row),
       };
     }
@@ -216,29 +216,35 @@
     return { kind: 'whole', status };
   }
 
-  function explain(row: StreamRow, error: unknown): StreamResult {
+  function classifyError(row: StreamRow, error: unknown): StreamResult {
     if (row.cutReason === 'caller-left') return { kind: 'caller-left' };
     const [head] = row.stages;
     const known = toSpoolplankError(error);
     const problem = row.cutReason ?? known.message;
     if (known.code === 'server-closed') return { kind: 'held-back', problem };
     if (row.cutReason === null && head) {
-      // The engine ended, or only this answer was lost: a probe shows which.
+      // Either the engine is lost or just this response: a probe tells which.
       examine(head.id, head.address);
     }
     if (known.outcome === 'not-run' && row.cutReason === null) {
       return { kind: 'not-run', problem, culprit: head?.address ?? null, backoffMs: null };
     }
     const isHeadFine = row.cutReason === 'no-repair';
-    return { kind: 'broken', problem, isHeadFine, run: describeRun(row) };
+    return { kind: 'broken', problem, isHeadHealthy: isHeadFine, run: describeRun(row) };
   }
 
-  /** The VM that granted the slot may know another configuration, with other layers. */
-  function assertWhole({ stages, grantedBy }: ChosenChain, { layers }: ModelDescription): void {
+  /**
+   * Refuses a path that does not cover all layers: the VM that granted the slot may use another
+   * version of the configuration, with different layers.
+   */
+  function assertCompletePath(
+    { stages, grantedBy }: ChosenChain,
+    { layers }: ModelDescription,
+  ): void {
     if (isWholePath(stages, layers)) return;
     const path = describePath(stages);
     log.warn('path-incomplete', { path, layers, grantedBy });
-    const detail = `The path ${path.join(', ')} does not run ${layers} layers in order.`;
+    const detail = `The path ${path.join(', ')} does not cover ${layers} layers in order.`;
     throw new SpoolplankError('server-closed', { detail });
   }
 
@@ -249,7 +255,7 @@
   ): Promise<StreamResult> {
     const { request, organisation, answer, endsAtMs } = search.admitted;
     const [head] = chain.stages;
-    if (!head) throw new SpoolplankError('internal', { detail: 'A chain has no engine.' });
+    if (!head) throw new SpoolplankError('internal', { detail: 'The chain has no engines.' });
     const abort = new AbortController();
     const row = createRow(search, chain, abort);
     const remainingMs = endsAtMs - clock.nowMs();
@@ -261,7 +267,7 @@
     progress.servedBy = describePath(chain.stages);
     const target = { instanceId: head.id, address: head.address };
     try {
-      assertWhole(chain, search.model);
+      assertCompletePath(chain, search.model);
       context.crashes.recordSend(contentOf(search.admitted), target);
       const response = await operations.open({
         target,
@@ -275,9 +281,9 @@
         hasPermit: chain.hasPermit,
       });
       row.hasAnswered = true;
-      return await judge(row, response, progress);
+      return await classifyResponse(row, response, progress);
     } catch (error) {
-      return explain(row, error);
+      return classifyError(row, error);
     } finally {
       clearTimeout(timer);
       streams.remove(row);
--- a/packages/entry/src/dispatch/streamDispatch.ts
+++ b/packages/entry/src/dispatch/streamDispatch.ts
@@ -1,4 +1,4 @@
-/** Streams of a model that runs on a chain of engines. */
+/** Dispatches streams of a model that runs on a chain of engines. */
 import { delay } from '@spoolplank/node';
 import { SpoolplankError } from '@spoolplank/shared';
 import type { ModelDescription } from '@spoolplank/routing';
@@ -6,7 +6,7 @@
 import type { AdmittedRequest, EntryContext, RequestEnd } from '../entryContext';
 import type { SlotFinder } from '../slots/slotFinder';
 import { contentOf, digestContent } from '../quarantine/requestContent';
-import { createStreamAttempts, HIGHEST_GOOD_STATUS, TIMEOUT_MARGIN_MS } from './streamAttempt';
+import { createStreamAttempts, MAX_SUCCESS_STATUS, TIMEOUT_MARGIN_MS } from './streamAttempt';
 import type { BrokenRun, StreamProgress } from './streamAttempt';
 import type { StreamTable } from './streamTable';
 
@@ -14,7 +14,7 @@
   readonly context: EntryContext;
   readonly streams: StreamTable;
   readonly slots: SlotFinder;
-  /** Probes an engine whose connection failed. */
+  /** Probes an engine after a failed connection. */
   readonly examine: (instanceId: string, address: string) => void;
   readonly avoid: (instanceId: string) => void;
 }
@@ -23,34 +23,34 @@
   /**
    * Serves a stream.
    *
-   * @throws SpoolplankError that the caller is to be refused with; never after it has begun.
+   * @throws SpoolplankError to refuse the caller with; never after the stream has started.
    */
   run(admitted: AdmittedRequest, model: ModelDescription): Promise<RequestEnd>;
 }
 
+/** Number of `not-run` rejections after which a stream is not sent again. */
 const MAX_REJECTIONS = 4;
-/**
- * Choices that came just before their engine asked for a backoff; each is made with what was heard.
- */
+/** Choices of an engine that closes just before the send; each next choice uses the newer state. */
 const MAX_HELD_BACK = 4;
 /**
- * A refused connection is seen within milliseconds, so a request usually knows what ended under it
- * before it is sent on. A silent engine takes longer than a caller should wait for that.
+ * A refused connection is detected within milliseconds, so it is usually known whether the engine
+ * crashed before the request is sent to another one. An unresponsive engine takes longer to detect
+ * than a caller should wait.
  */
-const MAX_EVIDENCE_WAIT_MS = 50;
-/** Engines that end one after the other under one stream: beyond this something else is wrong. */
+const MAX_CRASH_EVIDENCE_WAIT_MS = 50;
+/** Attempts of one stream; when more engines are lost in a row, the cause lies elsewhere. */
 const MAX_ATTEMPTS = 6;
-/** Reading a prompt of 800 tokens keeps the slowest engine of a chain busy for 4 ms. */
+/** The prefill of an 800-token prompt keeps the slowest engine of a chain busy for 4 ms. */
 const RESUME_SPACING_MS = 8;
-/** Callers give a stream up after a pause of two seconds; finding the fault took half a second. */
-const MAX_TURN_WAIT_MS = 900;
+/** Callers abandon a stream after a pause of 2 s, of which detecting the fault takes 0.5 s. */
+const MAX_RESUME_DELAY_MS = 900;
 /**
- * Share of the retry budget that is kept for streams that have begun: those that have not can be
- * refused and come back, the others are lost to their callers.
+ * Share of the retry budget that is reserved for streams that have started. A stream that has not
+ * started can be refused and retried by its caller; one that has is lost.
  */
-const RESERVED_FOR_BEGUN = 0.4;
+const RESUME_RESERVE_SHARE = 0.4;
 
-/** What a broken run carried, and how far it came: lines of lost engines may have it in common. */
+/** Content and progress of a broken run, by which log lines of lost engines can be correlated. */
 function describeRun(admitted: AdmittedRequest, run: BrokenRun) {
   return {
     content: digestContent(contentOf(admitted)),
@@ -64,12 +64,12 @@
   const { context, streams, slots, examine, avoid } = options;
   const { clock, log, view, quarantine, crashes } = context;
   const attempter = createStreamAttempts({ context, streams, examine });
-  let nextTurnAtMs = 0;
+  let nextResumeAtMs = 0;
 
   /**
-   * Excludes what rejected a request: the engine that is named as at fault, for all requests and a
-   * moment, or else the first engine, for this request. An engine that could not be reached is
-   * named, as its chain may be repaired meanwhile.
+   * Excludes the engine that caused a rejection: a named culprit is avoided briefly by all
+   * requests, otherwise the first engine is excluded for this request. An unreachable engine is
+   * named as the culprit, because its chain may be repaired in the meantime.
    */
   function recordRejection(
     { stages: [head] }: ChosenChain,
@@ -82,31 +82,31 @@
   }
 
   /**
-   * Streams that lost an engine resume one after the other: each prompt is read again, and all at
-   * once they would delay every other stream of the chain.
+   * Staggers the streams that resume after the loss of an engine: each one repeats its prefill, and
+   * all at once would delay every other stream of the chain.
    */
-  async function waitForTurn(): Promise<void> {
+  async function waitToResume(): Promise<void> {
     const nowMs = clock.nowMs();
-    const readMs = RESUME_SPACING_MS * Math.max(1, view.listMembers('entry').length);
-    nextTurnAtMs = Math.max(nextTurnAtMs + readMs, nowMs);
-    const waitMs = Math.min(nextTurnAtMs - nowMs, MAX_TURN_WAIT_MS);
+    const spacingMs = RESUME_SPACING_MS * Math.max(1, view.listMembers('entry').length);
+    nextResumeAtMs = Math.max(nextResumeAtMs + spacingMs, nowMs);
+    const waitMs = Math.min(nextResumeAtMs - nowMs, MAX_RESUME_DELAY_MS);
     if (waitMs > 0) await delay(waitMs);
   }
 
   /**
-   * Attributes the end of its first engine to a request that had just begun there. An attempt
-   * without an answer had not begun, and one that has passed on events had run well: both are
-   * coincidence.
+   * Attributes the crash of the first engine to a request that had just started there. An attempt
+   * without a response had not started, and one that delivered events ran well: for both, the crash
+   * is a coincidence.
    */
-  async function recordBroken(
+  async function recordBrokenRun(
     admitted: AdmittedRequest,
     { stages: [head] }: ChosenChain,
     { ranMs, hasAnswered, hasBegun, wasCutHere }: BrokenRun,
   ): Promise<void> {
     if (!head || !hasAnswered || hasBegun || wasCutHere) return;
     const content = digestContent(contentOf(admitted));
-    const judged = crashes.record({ content, instanceId: head.id, address: head.address, ranMs });
-    await Promise.race([judged, delay(MAX_EVIDENCE_WAIT_MS)]);
+    const recorded = crashes.record({ content, instanceId: head.id, address: head.address, ranMs });
+    await Promise.race([recorded, delay(MAX_CRASH_EVIDENCE_WAIT_MS)]);
   }
 
   return {
@@ -129,8 +129,8 @@
       let runs = 0;
       let rejections = 0;
       let heldBack = 0;
-      /** The first attempt needs no leave; one that was given and not used holds for the next. */
-      let hasLeave = true;
+      /** The first attempt spends no retry budget; a held-back attempt passes its grant on. */
+      let isAttemptGranted = true;
       let attempts = 0;
       let mayHaveRun = false;
       let problem = '';
@@ -146,21 +146,21 @@
         longestPauseMs: progress.longestPauseMs,
       });
 
-      /** Another attempt is possible: there is time, budget, and an attempt left. */
-      function mayTry(): boolean {
+      /** Whether another attempt is allowed by the deadline, the retry budget and the limits. */
+      function mayAttempt(): boolean {
         if (heldBack > MAX_HELD_BACK) return false;
-        if (hasLeave) return true;
+        if (isAttemptGranted) return true;
         const isAllowed = !mayHaveRun || (route.isResumable && runs < route.maxAttempts);
         if (!quarantine.maySendOn(content)) return false;
         const hasTime = admitted.endsAtMs - clock.nowMs() > 2 * TIMEOUT_MARGIN_MS;
-        const isFew = rejections < MAX_REJECTIONS && attempts < MAX_ATTEMPTS;
-        const reservedShare = progress.hasBegun ? 0 : RESERVED_FOR_BEGUN;
-        return isAllowed && hasTime && isFew && budget.spend(reservedShare);
+        const isBelowLimits = rejections < MAX_REJECTIONS && attempts < MAX_ATTEMPTS;
+        const reservedShare = progress.hasBegun ? 0 : RESUME_RESERVE_SHARE;
+        return isAllowed && hasTime && isBelowLimits && budget.spend(reservedShare);
       }
 
       budget.earn();
-      while (mayTry()) {
-        const waitsSinceMs = clock.nowMs();
+      while (mayAttempt()) {
+        const waitStartMs = clock.nowMs();
         const search = {
           admitted,
           model,
@@ -169,27 +169,24 @@
           isUnwanted: () => quarantine.has(content),
         };
         const chain = mayHaveRun
-          ? await slots.toResume(search, progress.lastEventAtMs ?? waitsSinceMs)
+          ? await slots.toResume(search, progress.lastEventAtMs ?? waitStartMs)
           : await slots.toBegin(search);
-        progress.waitedMs += clock.nowMs() - waitsSinceMs;
+        progress.waitedMs += clock.nowMs() - waitStartMs;
         if (!chain && answer.isClosed) return end('caller-left', progress.status);
-        // Servers may have ended under it elsewhere while it waited here.
+        // Servers may have crashed on this content elsewhere while the request waited.
         if (!mayHaveRun) quarantine.check(content);
         if (!chain || quarantine.has(content)) break;
         attempts += 1;
         const result = await attempter.attempt(search, chain, progress);
         if (result.kind === 'caller-left') return end('caller-left', progress.status);
-        hasLeave = result.kind === 'held-back';
+        isAttemptGranted = result.kind === 'held-back';
         if (result.kind === 'held-back') {
           heldBack += 1;
           attempts -= 1;
         }
         if (result.kind === 'whole') {
           answer.end();
-          return end(
-            result.status > HIGHEST_GOOD_STATUS ? 'failed-there' : 'served',
-            result.status,
-          );
+          return end(result.status > MAX_SUCCESS_STATUS ? 'failed-there' : 'served', result.status);
         }
         ({ problem } = result);
         log.info('attempt-failed', {
@@ -204,17 +201,17 @@
           ...(result.kind === 'broken' ? describeRun(admitted, result.run) : {}),
           factsAgeMs: Math.round(context.factsAgeMs()),
         });
-        if (result.kind === 'broken' && progress.hasBegun) await waitForTurn();
+        if (result.kind === 'broken' && progress.hasBegun) await waitToResume();
         if (result.kind === 'not-run') {
           rejections += 1;
           recordRejection(chain, result.culprit, excluded);
         } else if (result.kind === 'broken') {
           mayHaveRun = true;
-          // Whether the engine ended or only the way to it, is unknown here: it counts.
+          // Counts as a run, since a lost engine cannot be told from a lost connection here.
           runs += 1;
           const [head] = chain.stages;
-          if (head && !result.isHeadFine) excluded.add(head.id);
-          await recordBroken(admitted, chain, result.run);
+          if (head && !result.isHeadHealthy) excluded.add(head.id);
+          await recordBrokenRun(admitted, chain, result.run);
         }
       }
 
--- a/packages/entry/src/dispatch/streamPath.ts
+++ b/packages/entry/src/dispatch/streamPath.ts
@@ -1,4 +1,4 @@
-/** The parts that take a stream over a chain of engines: choice, slot, dispatch, repair. */
+/** Wires the components that run a stream over a chain: selection, slots, dispatch and repair. */
 import { delay } from '@spoolplank/node';
 import type { PeerClient, PeerMethod } from '@spoolplank/node';
 import { createChainChoice } from './chainChoice';
@@ -23,11 +23,11 @@
   /** Unique to this incarnation of the process. */
   readonly run: string;
   readonly host: string;
-  /** Known entries, this one included. */
+  /** Number of known entries, including this one. */
   readonly countEntries: () => number;
-  /** The data centre of a server; undefined where it is not known. */
+  /** The data centre of a server; undefined when unknown. */
   readonly dataCentreOf: (instanceId: string) => string | undefined;
-  /** Whether this VM has lately exchanged facts with all others. */
+  /** Whether this VM has exchanged facts for long enough to know all members. */
   readonly isSettled: () => boolean;
 }
 
@@ -35,7 +35,7 @@
   readonly dispatch: StreamDispatch;
   readonly repair: StreamRepair;
   readonly slots: SlotService;
-  /** What other VMs call here. */
+  /** RPC methods that other VMs call on this one. */
   readonly methods: Readonly<Record<string, PeerMethod>>;
 }
 
--- a/packages/entry/src/dispatch/streamTable.ts
+++ b/packages/entry/src/dispatch/streamTable.ts
@@ -1,38 +1,38 @@
-/** The streams that run through this entry. */
+/** Tracks the streams that run through this entry. */
 import { createUnseenLoad } from '@spoolplank/routing';
 import type { HeldSlot, ModelDescription, PathStage } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
 import type { AdmittedRequest } from '../entryContext';
 
-/** Why an attempt was ended here. */
+/** Why this entry aborted an attempt. */
 export type StreamCut = 'caller-left' | 'head-lost' | 'no-repair' | 'deadline' | 'quarantined';
 
 export interface StreamRow {
   readonly admitted: AdmittedRequest;
   readonly model: ModelDescription;
-  /** Names the slot that it holds; unique to the attempt. */
+  /** Identifies the slot that the attempt holds; unique to the attempt. */
   readonly ticket: string;
-  /** Where its chain is. */
+  /** Data centre of the chain. */
   readonly dataCentre: string;
-  /** The engine that the chain begins with; it names the chain. */
+  /** First engine of the chain, which identifies the chain. */
   readonly headId: string;
-  /** Memory that it takes, against a request of usual size. */
+  /** Memory that the request takes, relative to a request of usual size. */
   readonly size: number;
   stages: readonly PathStage[];
-  /** Engines that were found lost while this attempt ran. */
+  /** Engines of the path that were found lost during this attempt. */
   readonly lostIds: Set<string>;
   readonly startedAtMs: number;
-  /** The first engine has begun its answer. */
+  /** Whether the first engine has sent the head of its response. */
   hasAnswered: boolean;
-  /** Something of the answer's body has come. */
+  /** Whether any part of the response body has arrived. */
   hasBegun: boolean;
   lastProgressAtMs: number;
   lastCheckAtMs: number;
-  /** Probes since the last event, none of which found anything. */
+  /** Probes since the last event, none of which found a lost engine. */
   checks: number;
   isChecking: boolean;
   isRepairing: boolean;
-  /** The caller reads too slowly; silence is then no sign of a fault. */
+  /** Whether the caller reads too slowly; silence is then no sign of a fault. */
   isPaused: boolean;
   cutReason: StreamCut | null;
   readonly cut: (reason: StreamCut) => void;
@@ -42,38 +42,39 @@
   add(row: StreamRow): void;
   remove(row: StreamRow): void;
   list(): Iterable<StreamRow>;
-  /** The slots that the streams on chains of a data centre hold. */
+  /** Slots held by the streams on chains of a data centre. */
   listHeld(dataCentre: string): readonly HeldSlot[];
-  /** Streams in flight on the chain that begins with an engine, by their sizes. */
+  /** Sum of the sizes of the streams in flight on the chain with the given first engine. */
   countOn(headId: string): number;
-  /** What so many other entries have probably begun on a chain and not reported yet. */
+  /** Estimate of the load that `peers` other entries started on a chain but not reported yet. */
   estimateUnseen(headId: string, peers: number): number;
-  /** Records how long a first event took on a chain. */
+  /** Records the time to first event of a stream on a chain. */
   recordFirstEvent(headId: string, durationMs: number): void;
   /**
-   * Recent time to a first event: what was measured, fading as it grows old, or the wait of the
-   * streams that have none yet, when that is longer.
+   * Recent time to first event: the measured mean, decaying with its age, or the mean wait of the
+   * streams without a first event, if that is longer.
    */
   firstEventMs(headId: string): number;
-  /** Usual time to a first event over all chains, in milliseconds. */
+  /** Moving average of the time to first event over all chains, in milliseconds. */
   readonly usualFirstEventMs: number;
-  /** Sizes of the streams in flight by the first engine of their chain, where there are any. */
+  /** Sizes of the streams in flight by the first engine of their chain; idle chains are omitted. */
   counts(): Readonly<Record<string, number>>;
 }
 
-/** Loads pass two control VMs at most, each of which holds them back for up to 0.8 s. */
+/** Load reports pass through at most two control VMs, each of which delays them by up to 0.8 s. */
 const UNSEEN_WINDOW_MS = 1600;
-const NEW_WEIGHT = 0.2;
-/** Before the first one was measured. */
-const FIRST_GUESS_MS = 100;
-/** After so long without a measurement half of the last one is left, and a trial is due. */
+/** Weight of a new sample in the moving averages. */
+const SAMPLE_WEIGHT = 0.2;
+/** Assumed time to first event before the first measurement. */
+const INITIAL_FIRST_EVENT_MS = 100;
+/** Half-life of a measurement: a chain that was slow is tried again as its old value decays. */
 const HALF_LIFE_MS = 1500;
-/** Waits of this many streams and more say something of the chain, not of one stream. */
-const MIN_WAITING = 3;
+/** Number of waiting streams from which their waits are attributed to the chain. */
+const MIN_WAITING_STREAMS = 3;
 
-/** Sums of sizes end a little off zero. */
-const LEAST_SIZE = 1e-6;
-/** Sizes are reported with two digits. */
+/** Smaller sums of sizes are rounding errors and count as zero. */
+const MIN_SIZE = 1e-6;
+/** Sizes are reported with two decimal places. */
 const SIZE_STEPS = 100;
 
 const roundSize = (size: number): number => Math.round(size * SIZE_STEPS) / SIZE_STEPS;
@@ -85,7 +86,7 @@
 
 export interface StreamTableOptions {
   readonly clock: Clock;
-  /** Called with each stream that ended, or was moved to another chain. */
+  /** Called with each stream that ended or was moved to another chain. */
   readonly onEnd?: (row: StreamRow) => void;
 }
 
@@ -93,24 +94,24 @@
   const rows = new Set<StreamRow>();
   const countByHead = new Map<string, number>();
   const firstEvents = new Map<string, FirstEvents>();
-  let usualFirstEventMs = FIRST_GUESS_MS;
+  let usualFirstEventMs = INITIAL_FIRST_EVENT_MS;
   const unseen = createUnseenLoad({ clock, windowMs: UNSEEN_WINDOW_MS });
 
-  function addTo(headId: string, by: number): void {
+  function adjustInFlight(headId: string, by: number): void {
     unseen.record(headId, by);
     const count = (countByHead.get(headId) ?? 0) + by;
-    if (count > LEAST_SIZE) countByHead.set(headId, count);
+    if (count > MIN_SIZE) countByHead.set(headId, count);
     else countByHead.delete(headId);
   }
 
   return {
     add(row) {
       rows.add(row);
-      addTo(row.headId, row.size);
+      adjustInFlight(row.headId, row.size);
     },
     remove(row) {
       if (!rows.delete(row)) return;
-      addTo(row.headId, -row.size);
+      adjustInFlight(row.headId, -row.size);
       onEnd?.(row);
     },
     list: () => rows,
@@ -123,14 +124,14 @@
     recordFirstEvent(headId, durationMs) {
       const atMs = clock.nowMs();
       const known = firstEvents.get(headId) ?? { meanMs: durationMs, atMs };
-      const meanMs = known.meanMs + NEW_WEIGHT * (durationMs - known.meanMs);
+      const meanMs = known.meanMs + SAMPLE_WEIGHT * (durationMs - known.meanMs);
       firstEvents.set(headId, { meanMs, atMs });
-      usualFirstEventMs += NEW_WEIGHT * (durationMs - usualFirstEventMs);
+      usualFirstEventMs += SAMPLE_WEIGHT * (durationMs - usualFirstEventMs);
     },
     firstEventMs(headId) {
       const nowMs = clock.nowMs();
       const { meanMs, atMs } = firstEvents.get(headId) ?? { meanMs: 0, atMs: nowMs };
-      const fadedMs = meanMs * 0.5 ** ((nowMs - atMs) / HALF_LIFE_MS);
+      const decayedMs = meanMs * 0.5 ** ((nowMs - atMs) / HALF_LIFE_MS);
       let waitingMs = 0;
       let waiting = 0;
       rows.forEach((row) => {
@@ -138,7 +139,7 @@
         waiting += 1;
         waitingMs += nowMs - row.startedAtMs;
       });
-      return waiting >= MIN_WAITING ? Math.max(fadedMs, waitingMs / waiting) : fadedMs;
+      return waiting >= MIN_WAITING_STREAMS ? Math.max(decayedMs, waitingMs / waiting) : decayedMs;
     },
     get usualFirstEventMs() {
       return usualFirstEventMs;
--- a/packages/entry/src/repair/pathRepair.ts
+++ b/packages/entry/src/repair/pathRepair.ts
@@ -6,7 +6,7 @@
 
 export interface PathRepairOptions {
   readonly random: Random;
-  readonly catalog: Pick<ChainCatalog, 'listEnginesBeside'>;
+  readonly catalog: Pick<ChainCatalog, 'listEnginesInSameDataCentre'>;
   /** Time until this VM may send something to an engine, in milliseconds; 0 when it may now. */
   readonly backoffMsOf: (instanceId: string) => number;
 }
@@ -34,7 +34,7 @@
     if (!head || lostIds.has(head.id)) return undefined;
     const kept = new Set(stages.map(({ id }) => id).filter((id) => !lostIds.has(id)));
     const engines = catalog
-      .listEnginesBeside(service, model, head.id)
+      .listEnginesInSameDataCentre(service, model, head.id)
       .filter(({ id }) => !lostIds.has(id) && (kept.has(id) || backoffMsOf(id) === 0));
     const replaceable = engines
       .filter(({ id }) => !kept.has(id))
