--- a/packages/entry/__tests__/engineProbes.spec.ts
+++ b/packages/entry/__tests__/engineProbes.spec.ts
@@ -12,17 +12,17 @@
 const ENTRIES = 78;
 const PATH = ['e1', 'e2', 'e3'].map((id) => ({ instanceId: id, address: `${id}:80` }));
 
-/** All entries of a data centre; the first one probes for all. */
+/** All entries of a data centre; the first one is designated to probe for all. */
 function createEntries(answer: (address: string, tries: number) => boolean) {
   const clock = createManualClock(1000);
   const tries = new Map<string, number>();
-  const limitsMs: number[] = [];
+  const timeoutsMs: number[] = [];
   const probes = new Map<string, EngineProbes>();
   const designated = { host: 'h0', peerPort: 1 } as MemberFact;
-  let isDesignatedThere = true;
+  let isDesignatedUp = true;
   const peersOf = (sender: string): PeerClient => ({
     async call<Result>({ vmId }: PeerTarget, method: string, params: unknown): Promise<Result> {
-      const called = isDesignatedThere ? probes.get(vmId)?.methods[method] : undefined;
+      const called = isDesignatedUp ? probes.get(vmId)?.methods[method] : undefined;
       if (!called) throw new SpoolplankError('unreachable');
       return (await called(structuredClone(params) as JsonValue, sender)) as Result;
     },
@@ -39,8 +39,8 @@
       peers: peersOf(host),
       host,
       operations: {
-        isReachable(address, limitMs) {
-          limitsMs.push(limitMs);
+        isReachable(address, timeoutMs) {
+          timeoutsMs.push(timeoutMs);
           const count = (tries.get(address) ?? 0) + 1;
           tries.set(address, count);
           return Promise.resolve(answer(address, count));
@@ -54,47 +54,52 @@
   return {
     clock,
     tries,
-    limitsMs,
-    askAll: () => Promise.all([...probes.values()].map((entry) => entry.ask('a', PATH))),
-    askOf: (host: string) => probes.get(host)?.ask('a', PATH),
-    endDesignated() {
-      isDesignatedThere = false;
+    timeoutsMs,
+    requestFromAll: () =>
+      Promise.all([...probes.values()].map((entry) => entry.requestProbe('a', PATH))),
+    requestFrom: (host: string) => probes.get(host)?.requestProbe('a', PATH),
+    stopDesignated() {
+      isDesignatedUp = false;
     },
   };
 }
 
-describe('a path that falls silent over all entries at once', () => {
-  it('is probed once for all of them, and each is told what is lost', async () => {
-    const { askAll, tries } = createEntries((address) => address !== 'e2:80');
+describe('a path that falls silent on all entries at once', () => {
+  it('is probed once for all of them, and each receives the lost engines', async () => {
+    const { requestFromAll: askAll, tries } = createEntries((address) => address !== 'e2:80');
     const answers = await askAll();
     assert.equal(answers.length, ENTRIES);
     answers.forEach((lost) => assert.deepEqual(lost, ['e2']));
-    // Three tries an engine and no more, whoever asks.
+    // At most three attempts per engine, whatever the number of requests.
     tries.forEach((count) => assert.ok(count <= 3, `${count} connections`));
   });
 
-  it('is not probed for one VM or two that alone miss something', async () => {
-    const { askOf, tries } = createEntries(() => false);
+  it('is not probed when only one or two VMs report it', async () => {
+    const { requestFrom: askOf, tries } = createEntries(() => false);
     assert.deepEqual(await Promise.all([askOf('h1'), askOf('h2')]), [[], []]);
     assert.equal(tries.size, 0);
   });
 
-  it('is not called lost for a packet or two that were', async () => {
-    const { askAll } = createEntries((_address, count) => count >= 3);
+  it('is not reported as lost for one or two lost packets', async () => {
+    const { requestFromAll: askAll } = createEntries((_address, count) => count >= 3);
     (await askAll()).forEach((lost) => assert.deepEqual(lost, []));
   });
 
-  it('is not called lost by a VM that was frozen, whose tries have a time limit all the same', async () => {
-    const { askAll, clock, limitsMs } = createEntries(() => {
+  it('is not reported as lost by a VM that was frozen, whose attempts still have a timeout', async () => {
+    const {
+      requestFromAll: askAll,
+      clock,
+      timeoutsMs,
+    } = createEntries(() => {
       clock.advance(50);
       return false;
     });
     (await askAll()).forEach((lost) => assert.deepEqual(lost, []));
-    limitsMs.forEach((limitMs) => assert.ok(limitMs >= 1, `${limitMs} ms`));
+    timeoutsMs.forEach((timeoutMs) => assert.ok(timeoutMs >= 1, `${timeoutMs} ms`));
   });
 
-  it('is probed anew when it is still silent a moment later', async () => {
-    const { askAll, tries, clock } = createEntries(() => true);
+  it('is probed again when it is still silent a moment later', async () => {
+    const { requestFromAll: askAll, tries, clock } = createEntries(() => true);
     await askAll();
     const before = tries.get('e1:80') ?? 0;
     clock.advance(200);
@@ -102,8 +107,8 @@
     assert.ok((tries.get('e1:80') ?? 0) > before);
   });
 
-  it('is left to each entry itself when nobody answers', async () => {
-    const { askAll, endDesignated } = createEntries(() => true);
+  it('is left to each entry when the designated VM does not reply', async () => {
+    const { requestFromAll: askAll, stopDesignated: endDesignated } = createEntries(() => true);
     endDesignated();
     const [own, ...others] = await askAll();
     assert.deepEqual(own, []);
--- a/packages/entry/__tests__/engineRuns.spec.ts
+++ b/packages/entry/__tests__/engineRuns.spec.ts
@@ -33,8 +33,8 @@
   return { clock, table, health, announce, losses: () => losses };
 }
 
-describe('an engine that has started again under its name', () => {
-  it('is lost for the streams of its earlier incarnation as soon as it is known', () => {
+describe('an engine that has restarted under its name', () => {
+  it('is lost for the streams of its earlier incarnation as soon as the restart is known', () => {
     const { health, announce, losses } = createSetting();
     announce(createEngine('a1/1', 0, 4), 40);
     assert.equal(health.isLost('a1/1'), false);
@@ -45,7 +45,7 @@
     assert.equal(health.isLost('a1/2'), false);
   });
 
-  it('is not suspected for what its earlier incarnation did not answer', () => {
+  it('is not suspected for failed probes of its earlier incarnation', () => {
     const { health, announce, table } = createSetting();
     announce(createEngine('a1/1', 0, 4), 40);
     announce(createEngine('a1/2', 0, 4), 1);
@@ -55,7 +55,7 @@
     assert.equal(health.isLost('a1/2'), false);
   });
 
-  it('is not left out for the suspicion that its earlier incarnation met', () => {
+  it('is not excluded because of a suspicion against its earlier incarnation', () => {
     const { health, announce } = createSetting();
     announce(createEngine('a1/1', 0, 4), 40);
     health.suspect('a1/1', 'no-connection');
@@ -66,7 +66,7 @@
     assert.equal(health.isAvoided('a1/2'), false);
   });
 
-  it('takes its earlier incarnation out of what requests are sent to', () => {
+  it('replaces its earlier incarnation among the servers that receive requests', () => {
     const { view, table, sync } = createTables();
     const put = (fact: BackendFact, sequence: number) => {
       const { incarnation } = parseInstanceId(fact.instanceId);
--- a/packages/entry/__tests__/streamRepair.spec.ts
+++ b/packages/entry/__tests__/streamRepair.spec.ts
@@ -16,7 +16,7 @@
   readonly unreachable?: readonly string[];
   readonly stalledAt?: string;
   readonly outcome?: RepairOutcome;
-  /** What the VM that probes for all others answers. */
+  /** Engines that the designated VM reports as lost; it does not reply when this is undefined. */
   readonly lostByProbe?: readonly string[];
 }
 
@@ -32,7 +32,7 @@
   const cuts: string[] = [];
   const suspects: string[] = [];
   let connections = 0;
-  let asks = 0;
+  let probeRequests = 0;
   let reports = 0;
   const operations: BackendOperations = {
     onNotice: () => {},
@@ -60,8 +60,8 @@
     chains,
     suspect: (instanceId) => suspects.push(instanceId),
     avoid: () => {},
-    askDesignated() {
-      asks += 1;
+    requestProbe() {
+      probeRequests += 1;
       return Promise.resolve(lostByProbe ?? null);
     },
   });
@@ -108,7 +108,7 @@
     suspects,
     repair,
     counts: () => ({ connections, reports }),
-    asks: () => asks,
+    probeRequests: () => probeRequests,
     async pass(durationMs: number) {
       clock.advance(durationMs);
       repair.tick();
@@ -118,7 +118,7 @@
 }
 
 describe('a stream that fell silent', () => {
-  it('is probed by a few of many entries at a time, and by each of them in the end', async () => {
+  it('is probed by a few of many entries at a time, and eventually by each of them', async () => {
     const { table, counts, pass, clock } = createSetting();
     const announceEntries = () =>
       Array.from({ length: 120 }, (_, index) =>
@@ -152,13 +152,13 @@
     assert.ok(counts().connections > 0);
   });
 
-  it('is left alone while its pause is on time', async () => {
+  it('is not probed while its pause is within the target', async () => {
     const setting = createSetting();
     await setting.pass(140);
     assert.deepEqual(setting.counts(), { connections: 0, reports: 0 });
   });
 
-  it('gets another engine for the part of one that accepts no connection', async () => {
+  it('gets a replacement for an engine that accepts no connection', async () => {
     const setting = createSetting({ unreachable: ['a2:80'] });
     await setting.pass(160);
     assert.deepEqual(setting.suspects, ['a2']);
@@ -170,7 +170,7 @@
     assert.deepEqual(setting.cuts, []);
   });
 
-  it('is ended, to be resumed elsewhere, when its first engine is lost', async () => {
+  it('is aborted, to be resumed elsewhere, when its first engine is lost', async () => {
     const setting = createSetting({ unreachable: ['a1:80'] });
     await setting.pass(160);
     assert.deepEqual(setting.cuts, ['head-lost']);
@@ -186,7 +186,7 @@
     assert.deepEqual(setting.repairs, [['a1', 'a3']]);
   });
 
-  it('is ended when the engine says that the request is not there', async () => {
+  it('is aborted when the first engine does not know the request', async () => {
     const setting = createSetting({
       unreachable: ['a2:80'],
       outcome: { kind: 'unknown-request' },
@@ -195,20 +195,20 @@
     assert.deepEqual(setting.cuts, ['no-repair']);
   });
 
-  it('is probed less and less often when nothing is wrong', async () => {
+  it('is probed at increasing intervals when nothing is wrong', async () => {
     const setting = createSetting();
     for (let passed = 0; passed < 5000; passed += 100) await setting.pass(100);
     assert.ok(setting.counts().reports <= 6, `${setting.counts().reports} reports`);
   });
 
-  it('is no reason to probe while the caller does not read', async () => {
+  it('is not probed while the caller does not read', async () => {
     const setting = createSetting();
     setting.row.isPaused = true;
     await setting.pass(5000);
     assert.deepEqual(setting.counts(), { connections: 0, reports: 0 });
   });
 
-  it('is repaired before its pause is late when the VM that probes for all finds an engine lost', async () => {
+  it('is repaired before its pause exceeds the target when the designated VM finds a lost engine', async () => {
     const setting = createSetting({ lostByProbe: ['a2'] });
     await setting.pass(110);
     assert.deepEqual(setting.repairs, [['a1', 'a3']]);
@@ -216,23 +216,23 @@
     assert.equal(setting.counts().connections, 0);
   });
 
-  it('is asked about once, until something came over its path again', async () => {
+  it('causes one probe request until an event arrives over its path again', async () => {
     const setting = createSetting({ lostByProbe: [] });
     for (let passed = 0; passed < 180; passed += 40) await setting.pass(40);
-    assert.equal(setting.asks(), 1);
+    assert.equal(setting.probeRequests(), 1);
     setting.row.lastProgressAtMs = setting.clock.nowMs();
     await setting.pass(90);
-    assert.equal(setting.asks(), 2);
+    assert.equal(setting.probeRequests(), 2);
   });
 
-  it('is not asked about while others go on over the same path, whose stages came by themselves', async () => {
+  it('causes no probe request while others go on over an equal path with separate stage objects', async () => {
     const setting = createSetting();
     const { row, streams, clock } = setting;
     clock.advance(100);
     const stages = row.stages.map((stage) => ({ ...stage }));
     streams.add({ ...row, stages, lastProgressAtMs: clock.nowMs() });
     await setting.pass(60);
-    assert.equal(setting.asks(), 0);
+    assert.equal(setting.probeRequests(), 0);
   });
 
   it('is repaired at once when another entry has found the engine lost', async () => {
--- a/packages/entry/src/dispatch/streamPath.ts
+++ b/packages/entry/src/dispatch/streamPath.ts
@@ -92,7 +92,7 @@
     chains,
     suspect,
     avoid,
-    askDesignated: probes.ask,
+    requestProbe: probes.requestProbe,
     onLost: guard.recordLost,
   });
   const dispatch = createStreamDispatch({
--- a/packages/entry/src/repair/engineHealth.ts
+++ b/packages/entry/src/repair/engineHealth.ts
@@ -1,4 +1,4 @@
-/** Which engines this entry leaves out: those suspected everywhere, and those it avoids itself. */
+/** Tracks the engines that this entry excludes: those suspected by any entry, or avoided here. */
 import { FACT_KEYS, findBackend, hasRestarted } from '@spoolplank/membership';
 import type { FactTable, FactUpdate, SystemFact } from '@spoolplank/membership';
 import type { EventLog, Metrics } from '@spoolplank/node';
@@ -10,32 +10,32 @@
   readonly metrics: Metrics;
   readonly table: FactTable<SystemFact>;
   readonly dataCentre: string;
-  /** Makes a new suspicion known to others at once. */
+  /** Sends a new suspicion to others at once. */
   readonly spread: () => void;
 }
 
 export interface EngineHealth {
-  /** Leaves an engine out here for a while. */
+  /** Excludes an engine on this VM for a while. */
   avoid(instanceId: string, durationMs?: number): void;
   isAvoided(instanceId: string): boolean;
-  /** Engines that are left out here now. */
+  /** Engines that this VM excludes now. */
   listAvoided(): readonly string[];
-  /** Makes a lost engine known to all entries, unless it may be the way to it that is at fault. */
+  /** Reports a lost engine to all entries, unless the network path to it may be at fault. */
   suspect(instanceId: string, evidence: string): void;
   /**
    * Whether the streams of an engine are lost: it is suspected and has not announced itself since,
-   * or it has started again without their state.
+   * or it has restarted without their state.
    */
   isLost(instanceId: string): boolean;
-  /** Suspicions of this entry that are still to be repeated. */
+  /** Suspicions of this entry that are still repeated with each exchange. */
   listStatements(): readonly FactUpdate<SystemFact>[];
 }
 
-/** So long an engine is left out here that could not take its part: it is full, or leaving. */
-const AVOID_MS = 500;
-/** An engine of another data centre that did not answer: until its announcement would be missed. */
+/** Exclusion of an engine that could not run its stage, because it is full or leaving. */
+const DEFAULT_AVOID_MS = 500;
+/** Exclusion of an unresponsive remote engine: until its missing announcements would be noticed. */
 const REMOTE_AVOID_MS = 1200;
-/** Suspicions are repeated so long, for a control VM that was just exchanged for another. */
+/** Suspicions are repeated for this long, in case this VM has just switched its control VM. */
 const SUSPICION_REPEAT_MS = 5000;
 
 interface OwnSuspicion {
@@ -48,7 +48,7 @@
   const avoidedUntilMs = new Map<string, number>();
   const suspicions = new Map<string, OwnSuspicion>();
 
-  function avoid(instanceId: string, durationMs = AVOID_MS): void {
+  function avoid(instanceId: string, durationMs = DEFAULT_AVOID_MS): void {
     avoidedUntilMs.set(instanceId, clock.nowMs() + durationMs);
   }
 
@@ -56,7 +56,7 @@
     return (avoidedUntilMs.get(instanceId) ?? 0) > clock.nowMs();
   }
 
-  /** From another data centre, the way there may be at fault: that is no matter for others. */
+  /** Avoids an engine of another data centre here only, as the path to it may be at fault. */
   function avoidRemote(instanceId: string, evidence: string): void {
     if (isAvoided(instanceId)) return;
     avoid(instanceId, REMOTE_AVOID_MS);
--- a/packages/entry/src/repair/engineProbes.ts
+++ b/packages/entry/src/repair/engineProbes.ts
@@ -1,10 +1,10 @@
 /**
- * Probes engines from one VM of their data centre for all others.
+ * Probes engines from one VM of their data centre on behalf of all others.
  *
- * The load pattern it answers: an engine is lost, and all streams of its path fall silent, over all
- * entries at once. To connect to each engine of the path costs one VM little and seventy VMs more
- * than the loss; so all of them ask the one that gives out the slots of that data centre, which
- * probes once for all who ask within a moment and answers each of them directly.
+ * When an engine is lost, all streams of its path fall silent on all entries at once. Connecting to
+ * each engine of the path is cheap for one VM, but from seventy VMs it costs more than the loss. So
+ * all of them ask the VM that allocates the slots of that data centre, which probes once for all
+ * requests that arrive close together and replies to each requester directly.
  */
 import type { MemberFact } from '@spoolplank/membership';
 import type { EventLog, PeerClient, PeerMethod } from '@spoolplank/node';
@@ -16,23 +16,26 @@
   readonly delay: (durationMs: number) => Promise<void>;
   readonly log: EventLog;
   readonly peers: PeerClient;
-  /** This VM. */
+  /** Host name of this VM. */
   readonly host: string;
   readonly operations: Pick<BackendOperations, 'isReachable'>;
-  /** The VM that probes for all others in a data centre; undefined when there is none. */
+  /** The VM designated to probe the engines of a data centre; undefined when there is none. */
   readonly findDesignated: (dataCentre: string) => MemberFact | undefined;
-  /** Known entries, this one included. */
+  /** Number of known entries, including this one. */
   readonly countEntries: () => number;
 }
 
 export interface EngineProbes {
-  /** What other VMs call here. */
+  /** RPC methods that other VMs call on this one. */
   readonly methods: Readonly<Record<string, PeerMethod>>;
   /**
-   * Has the designated VM of a data centre probe engines; resolves with the instance ids of those
-   * that are lost, or with null when nobody answered.
+   * Asks the designated VM of a data centre to probe engines. Resolves with the instance ids of the
+   * lost ones, or with null when the VM did not reply.
    */
-  ask(dataCentre: string, engines: readonly BackendTarget[]): Promise<readonly string[] | null>;
+  requestProbe(
+    dataCentre: string,
+    engines: readonly BackendTarget[],
+  ): Promise<readonly string[] | null>;
 }
 
 interface ProbeCall {
@@ -41,117 +44,120 @@
 
 interface Probe {
   readonly atMs: number;
-  readonly isThere: Promise<boolean>;
+  readonly isAccepting: Promise<boolean>;
 }
 
 const PROBE_METHOD = 'engines.probe';
-/** All who miss something on a path ask within a pass or two of each other. */
-const SHARED_FOR_MS = 150;
+/** Time for which a probe is reused: requests about one path arrive within a pass or two. */
+const PROBE_REUSE_MS = 150;
 /**
- * Connections are tried this long apart, and all given up together. Inside a data centre one takes
- * 2 ms; where ten packets in a hundred are lost, all three are once in a thousand probes.
+ * Connection attempts of one probe. They start `NEXT_TRY_DELAY_MS` apart and share one timeout. A
+ * connection within a data centre takes 2 ms; at 10 % packet loss, all three attempts fail in one
+ * of a thousand probes.
  */
 const MAX_TRIES = 3;
-const NEXT_TRY_AFTER_MS = 20;
-const GIVEN_UP_AFTER_MS = 80;
+const NEXT_TRY_DELAY_MS = 20;
+const PROBE_TIMEOUT_MS = 80;
 /**
- * A VM that was frozen, or has used up its share of a core, sees no connection for that time: a
- * probe that took so long proves nothing about the engine.
+ * Duration from which a failed probe proves nothing about the engine: this VM was suspended or
+ * throttled, and saw no connection during that time.
  */
-const LATE_AFTER_MS = 120;
+const LOCAL_STALL_MS = 120;
 /**
- * So many VMs must miss something on a path: with one or two streams on it, each of them alone
- * meets a pause some times a second, and probes for whoever asks cost more than the loss.
+ * Number of VMs that must report a silent path before it is probed. On a path with one or two
+ * streams, each VM alone sees a pause several times a second, and probing for every request would
+ * cost more than the loss of an engine.
  */
-const MIN_ASKERS = 3;
-/** All who miss something on a path that stands still ask within two of their ticks. */
-const ASKERS_WITHIN_MS = 80;
-/** The wait for others who ask, a probe, the way there and back, and what a busy VM takes. */
-const ANSWER_MS = 240;
-/** What one call may have probed: a path has at most so many engines. */
+const MIN_REQUESTERS = 3;
+/** Window for the requests about one silent path: all its entries ask within two of their ticks. */
+const REQUEST_WINDOW_MS = 80;
+/** Covers the request window, one probe, the network round trip, and delays on a busy VM. */
+const CALL_TIMEOUT_MS = 240;
+/** Maximum number of engines probed for one call; no path has more. */
 const MAX_ENGINES = 32;
-const PROBES_KEPT = 512;
+const MAX_CACHE_ENTRIES = 512;
 
-/** Who missed something on a path lately, and who waits for enough of them. */
-interface Doubt {
+/** VMs that recently reported a silent path, and a promise that resolves at the quorum. */
+interface ProbeQuorum {
   readonly sinceMs: number;
-  readonly askers: Set<string>;
-  readonly enough: Promise<void>;
-  readonly resolveEnough: () => void;
+  readonly requesters: Set<string>;
+  readonly whenReached: Promise<void>;
+  readonly resolveReached: () => void;
 }
 
-function createDoubt(sinceMs: number): Doubt {
-  let resolveEnough = (): void => {};
-  const enough = new Promise<void>((resolve) => {
-    resolveEnough = resolve;
+function createQuorum(sinceMs: number): ProbeQuorum {
+  let resolveReached = (): void => {};
+  const whenReached = new Promise<void>((resolve) => {
+    resolveReached = resolve;
   });
-  return { sinceMs, askers: new Set(), enough, resolveEnough };
+  return { sinceMs, requesters: new Set(), whenReached, resolveReached };
 }
 
 export function createEngineProbes(options: EngineProbesOptions): EngineProbes {
   const { clock, delay, log, peers, host, operations, findDesignated } = options;
   const probes = new Map<string, Probe>();
-  const doubts = new Map<string, Doubt>();
+  const quorums = new Map<string, ProbeQuorum>();
 
   /**
-   * Whether one of several connections is accepted. The next one is tried as soon as one is
-   * refused, or has been without an answer for a moment: a lost packet is not waited for.
+   * Whether one of several connections is accepted. The next attempt starts as soon as the previous
+   * one is refused or has been pending for a moment, so that a lost packet is not waited for.
    */
   async function probe(address: string): Promise<boolean> {
     const startedAtMs = clock.nowMs();
     const tries: Promise<boolean>[] = [];
     for (let count = 0; count < MAX_TRIES; count += 1) {
-      // A busy process may come back here late; no time limit at all would wait for seconds.
-      const leftMs = Math.max(1, GIVEN_UP_AFTER_MS - (clock.nowMs() - startedAtMs));
+      // A busy process may resume late. Without the minimum, the remainder could be 0, which means
+      // no timeout and a wait of several seconds.
+      const leftMs = Math.max(1, PROBE_TIMEOUT_MS - (clock.nowMs() - startedAtMs));
       const tried = operations.isReachable(address, leftMs);
       tries.push(tried);
-      const isThere = await Promise.race([tried, delay(NEXT_TRY_AFTER_MS)]);
-      if (isThere === true) return true;
+      const isAccepting = await Promise.race([tried, delay(NEXT_TRY_DELAY_MS)]);
+      if (isAccepting === true) return true;
     }
-    const isThere = (await Promise.all(tries)).includes(true);
-    const isOwnFault = clock.nowMs() - startedAtMs > LATE_AFTER_MS;
-    return isThere || isOwnFault;
+    const isAccepting = (await Promise.all(tries)).includes(true);
+    const isLocalStall = clock.nowMs() - startedAtMs > LOCAL_STALL_MS;
+    return isAccepting || isLocalStall;
   }
 
   function probeShared(address: string): Promise<boolean> {
     const nowMs = clock.nowMs();
     const known = probes.get(address);
-    if (known && nowMs - known.atMs < SHARED_FOR_MS) return known.isThere;
-    if (probes.size >= PROBES_KEPT) probes.clear();
-    const isThere = probe(address);
-    probes.set(address, { atMs: nowMs, isThere });
-    return isThere;
+    if (known && nowMs - known.atMs < PROBE_REUSE_MS) return known.isAccepting;
+    if (probes.size >= MAX_CACHE_ENTRIES) probes.clear();
+    const isAccepting = probe(address);
+    probes.set(address, { atMs: nowMs, isAccepting });
+    return isAccepting;
   }
 
   async function findLost(engines: readonly BackendTarget[]): Promise<readonly string[]> {
     const found = await Promise.all(
       engines.slice(0, MAX_ENGINES).map(async ({ instanceId, address }) => ({
         instanceId,
-        isThere: await probeShared(address),
+        isAccepting: await probeShared(address),
       })),
     );
-    return found.filter(({ isThere }) => !isThere).map(({ instanceId }) => instanceId);
+    return found.filter(({ isAccepting }) => !isAccepting).map(({ instanceId }) => instanceId);
   }
 
-  function doubtOf(engines: readonly BackendTarget[]): Doubt {
+  function quorumOf(engines: readonly BackendTarget[]): ProbeQuorum {
     const name = engines.map(({ instanceId }) => instanceId).join(' ');
     const nowMs = clock.nowMs();
-    const known = doubts.get(name);
-    if (known && nowMs - known.sinceMs < ASKERS_WITHIN_MS) return known;
-    if (doubts.size >= PROBES_KEPT) doubts.clear();
-    const doubt = createDoubt(nowMs);
-    doubts.set(name, doubt);
-    return doubt;
+    const known = quorums.get(name);
+    if (known && nowMs - known.sinceMs < REQUEST_WINDOW_MS) return known;
+    if (quorums.size >= MAX_CACHE_ENTRIES) quorums.clear();
+    const quorum = createQuorum(nowMs);
+    quorums.set(name, quorum);
+    return quorum;
   }
 
-  /** Probes once enough VMs have asked; one that few miss is slow for them alone. */
-  async function answer(asker: string, engines: readonly BackendTarget[]) {
-    const doubt = doubtOf(engines);
-    doubt.askers.add(asker);
-    const isEnough = doubt.askers.size >= Math.min(MIN_ASKERS, options.countEntries());
-    if (isEnough) doubt.resolveEnough();
-    else await Promise.race([doubt.enough, delay(ASKERS_WITHIN_MS)]);
-    const isProbed = isEnough || doubt.askers.size >= MIN_ASKERS;
+  /** Probes once enough VMs have asked; a path that only a few report is slow for these alone. */
+  async function answer(requester: string, engines: readonly BackendTarget[]) {
+    const quorum = quorumOf(engines);
+    quorum.requesters.add(requester);
+    const isReached = quorum.requesters.size >= Math.min(MIN_REQUESTERS, options.countEntries());
+    if (isReached) quorum.resolveReached();
+    else await Promise.race([quorum.whenReached, delay(REQUEST_WINDOW_MS)]);
+    const isProbed = isReached || quorum.requesters.size >= MIN_REQUESTERS;
     return isProbed ? findLost(engines) : [];
   }
 
@@ -162,14 +168,14 @@
         return answer(sender, engines);
       },
     },
-    async ask(dataCentre, engines) {
+    async requestProbe(dataCentre, engines) {
       const designated = findDesignated(dataCentre);
       if (!designated) return null;
       if (designated.host === host) return answer(host, engines);
       const call: ProbeCall = { engines };
       const peer = { vmId: designated.host, host: designated.host, port: designated.peerPort ?? 0 };
       try {
-        return await peers.call<readonly string[]>(peer, PROBE_METHOD, call, ANSWER_MS);
+        return await peers.call<readonly string[]>(peer, PROBE_METHOD, call, CALL_TIMEOUT_MS);
       } catch (error) {
         const problem = error instanceof Error ? error.message : String(error);
         log.info('probe-unanswered', { designated: designated.host, dataCentre, problem });
--- a/packages/entry/src/repair/pathRepair.ts
+++ b/packages/entry/src/repair/pathRepair.ts
@@ -1,4 +1,4 @@
-/** Another path for a running stream over which an engine is lost. */
+/** Finds another path for a running stream whose path has lost an engine. */
 import { findStagePath } from '@spoolplank/routing';
 import type { ModelDescription, PathStage } from '@spoolplank/routing';
 import type { Random } from '@spoolplank/shared';
@@ -7,11 +7,11 @@
 export interface PathRepairOptions {
   readonly random: Random;
   readonly catalog: Pick<ChainCatalog, 'listEnginesInSameDataCentre'>;
-  /** Time until this VM may send something to an engine, in milliseconds; 0 when it may now. */
+  /** Remaining backoff of an engine towards this VM, in milliseconds; 0 when there is none. */
   readonly backoffMsOf: (instanceId: string) => number;
 }
 
-/** A path that keeps the first stage, and of the others what it can; undefined without one. */
+/** Finds a path that keeps the first stage and as many others as possible, if there is one. */
 export type PathRepair = (
   service: string,
   model: ModelDescription,
@@ -21,9 +21,9 @@
 
 export function createPathRepair({ random, catalog, backoffMsOf }: PathRepairOptions): PathRepair {
   /**
-   * The prompts of a lost engine's streams are read again by its replacement, one after the other,
-   * which takes it a third of a second. Weights drawn up to twice the cost spread them over all
-   * that could.
+   * Random factor from 1 to 2 on the cost of a replacement engine. The replacement repeats the
+   * prefill of all streams of the lost engine one by one, which takes a third of a second; the
+   * factor spreads these streams over all suitable engines.
    */
   function drawWeight(): number {
     return 1 + random.nextFloat();
@@ -36,29 +36,29 @@
     const engines = catalog
       .listEnginesInSameDataCentre(service, model, head.id)
       .filter(({ id }) => !lostIds.has(id) && (kept.has(id) || backoffMsOf(id) === 0));
-    const replaceable = engines
+    const candidates = engines
       .filter(({ id }) => !kept.has(id))
       .map((engine) => ({ ...engine, layerCostMs: engine.layerCostMs * drawWeight() }));
-    const patched: PathStage[] = [];
+    const repaired: PathStage[] = [];
     for (const stage of stages) {
       if (kept.has(stage.id)) {
-        patched.push(stage);
+        repaired.push(stage);
       } else {
-        const unused = replaceable.filter(({ id }) => !patched.some((used) => used.id === id));
-        const patch = findStagePath(unused, {
+        const unused = candidates.filter(({ id }) => !repaired.some((used) => used.id === id));
+        const replacement = findStagePath(unused, {
           fromLayer: stage.firstLayer,
           toLayer: stage.endLayer,
         });
-        if (!patch) {
+        if (!replacement) {
           const rest = findStagePath(
             engines.filter(({ id }) => id !== head.id),
             { fromLayer: head.endLayer, toLayer: model.layers },
           );
           return rest ? [head, ...rest.stages] : undefined;
         }
-        patched.push(...patch.stages);
+        repaired.push(...replacement.stages);
       }
     }
-    return patched;
+    return repaired;
   };
 }
--- a/packages/entry/src/repair/pathSilence.ts
+++ b/packages/entry/src/repair/pathSilence.ts
@@ -1,36 +1,37 @@
-/** When something last came over each path, from the streams that run over it here. */
+/** Tracks when an event last arrived over each path, from the streams of this entry. */
 import type { PathStage } from '@spoolplank/routing';
 import type { StreamRow } from '../dispatch/streamTable';
 
 export interface PathSilence {
-  /** The name of a path: streams over the same engines and layers share it. */
-  nameOf(stages: readonly PathStage[]): string;
-  /** When an event last came over each path, on this VM's clock. */
-  newestByPath(rows: Iterable<StreamRow>): ReadonlyMap<string, number>;
+  /** Key of a path: streams over the same engines and layers share it. */
+  keyOf(stages: readonly PathStage[]): string;
+  /** Time of the last event over each path, by key, on this VM's clock. */
+  lastEventByPath(rows: Iterable<StreamRow>): ReadonlyMap<string, number>;
 }
 
 export function createPathSilence(): PathSilence {
-  // Slots come over the network, each with stages of its own: paths are alike by what they hold.
-  const names = new WeakMap<readonly PathStage[], string>();
+  // Each slot arrives over the network with its own stage objects, so equal paths are recognised by
+  // value; the map caches the key of each object.
+  const keyByStages = new WeakMap<readonly PathStage[], string>();
 
-  function nameOf(stages: readonly PathStage[]): string {
-    const known = names.get(stages);
+  function keyOf(stages: readonly PathStage[]): string {
+    const known = keyByStages.get(stages);
     if (known !== undefined) return known;
-    const name = stages
+    const key = stages
       .map(({ id, firstLayer, endLayer }) => `${id}=${firstLayer}-${endLayer}`)
       .join(' ');
-    names.set(stages, name);
-    return name;
+    keyByStages.set(stages, key);
+    return key;
   }
 
   return {
-    nameOf,
-    newestByPath(rows) {
+    keyOf,
+    lastEventByPath(rows) {
       const newest = new Map<string, number>();
       for (const { stages, lastProgressAtMs, hasBegun } of rows) {
-        const name = nameOf(stages);
-        const known = newest.get(name) ?? Number.NEGATIVE_INFINITY;
-        if (hasBegun) newest.set(name, Math.max(known, lastProgressAtMs));
+        const key = keyOf(stages);
+        const known = newest.get(key) ?? Number.NEGATIVE_INFINITY;
+        if (hasBegun) newest.set(key, Math.max(known, lastProgressAtMs));
       }
       return newest;
     },
--- a/packages/entry/src/repair/streamRepair.ts
+++ b/packages/entry/src/repair/streamRepair.ts
@@ -1,6 +1,6 @@
 /**
  * Watches running streams for silence, finds the lost engine, and moves the streams of its path to
- * another one.
+ * another path.
  */
 import type { PathStage } from '@spoolplank/routing';
 import type { BackendTarget } from '../dispatch/backendOperations';
@@ -15,54 +15,59 @@
   readonly context: EntryContext;
   readonly streams: StreamTable;
   readonly chains: ChainChoice;
-  /** Makes a lost engine known to all entries. */
+  /** Reports a lost engine to all entries. */
   readonly suspect: (instanceId: string, evidence: string) => void;
-  /** Leaves an engine out here for a while. */
+  /** Excludes an engine on this VM for a while. */
   readonly avoid: (instanceId: string) => void;
-  /** Has one VM probe for all others; null when nobody answered. */
-  readonly askDesignated: EngineProbes['ask'];
-  /** Called with an engine that is lost under a stream which runs over it. */
+  /** Asks the designated VM to probe engines; resolves with null when it did not reply. */
+  readonly requestProbe: EngineProbes['requestProbe'];
+  /** Called when an engine on the path of a running stream is found lost. */
   readonly onLost?: (row: StreamRow, instanceId: string) => void;
 }
 
 export interface StreamRepair {
-  /** Probes an engine whose connection failed. */
+  /** Probes an engine after a failed connection. */
   examine(instanceId: string, address: string): void;
-  /** Whether a new connection to an address is accepted; one probe serves all who ask. */
+  /** Whether a new connection to an address is accepted; concurrent callers share one probe. */
   isThere(address: string): Promise<boolean>;
-  /** Lets time pass: looks for streams that have been silent too long. */
+  /** Checks for streams that have been silent too long; called periodically. */
   tick(): void;
-  /** Repairs every stream that runs over engines which are lost now. */
+  /** Repairs every stream whose path includes a lost engine. */
   repairLost(isLost: (instanceId: string) => boolean): void;
 }
 
-/** Shares of a route's own targets after which a silent path is probed. */
+/** Share of the route's target gap after which a silent path is probed. */
 const GAP_SHARE = 0.75;
 /**
- * The designated VM is asked earlier: its probe serves all, and is over before one of our own
- * begins.
+ * Share of the target gap after which the designated VM is asked. It is smaller, so that the probe
+ * shared by all entries is over before this entry starts its own.
  */
-const ASK_GAP_SHARE = 0.4;
+const PROBE_REQUEST_GAP_SHARE = 0.4;
+/** Share of the route's target latency after which a path without a first event is probed. */
 const FIRST_EVENT_SHARE = 0.6;
-/** Streams of one path fall silent within a pass of each other: a fraction of the limit. */
-const OTHERS_GO_ON_SHARE = 0.5;
-/** Pause before the next probe; it doubles with each one that found nothing. */
+/**
+ * Share of the limit by which another stream's event must be newer for the path to count as active.
+ * All streams of a lost path fall silent within a pass of each other, a fraction of the limit.
+ */
+const ACTIVE_PATH_SHARE = 0.5;
+/** Pause before the next probe; it doubles with each probe that finds no lost engine. */
 const RECHECK_MS = 300;
 const MAX_RECHECK_MS = 1200;
-/** A connection in a region takes 2 ms; ten lost packets in a hundred are sent again after 200. */
-const REACH_TIMEOUTS_MS: readonly number[] = [120, 250];
+/** A connection within a region takes 2 ms; lost packets, up to 10 %, are resent after 200 ms. */
+const CONNECT_TIMEOUTS_MS: readonly number[] = [120, 250];
 const REPORT_TIMEOUT_MS = 300;
 const REPAIR_TIMEOUT_MS = 400;
-/** Streams of one engine fall silent together: one probe serves all of them. */
-const SHARED_FOR_MS = 400;
-const MAX_REPAIR_TRIES = 3;
+/** Time for which a probe is reused: the streams of a lost engine fall silent together. */
+const PROBE_REUSE_MS = 400;
+const MAX_REPAIR_ATTEMPTS = 3;
 /**
- * Entries that probe a lost engine at the same time. One that finds it informs all others within
- * milliseconds; where all entries probe, connections cost more than the loss.
+ * Expected number of entries that probe a lost engine at the same time. The one that finds it
+ * informs all others within milliseconds; if all entries probed, the connections would cost more
+ * than the loss.
  */
 const PROBING_ENTRIES = 12;
 
-interface Shared<Result> {
+interface CachedProbe<Result> {
   readonly atMs: number;
   readonly result: Promise<Result>;
 }
@@ -70,15 +75,15 @@
 export function createStreamRepair(options: StreamRepairOptions): StreamRepair {
   const { context, streams, chains, suspect, avoid, onLost = () => {} } = options;
   const { clock, log, operations, random, view, quarantine } = context;
-  const reachability = new Map<string, Shared<boolean>>();
+  const reachability = new Map<string, CachedProbe<boolean>>();
   const paths = createPathSilence();
-  /** When the designated VM was last asked about a path that is silent since. */
-  const askedAtMs = new Map<string, number>();
-  let turn = { untilMs: Number.NEGATIVE_INFINITY, isProbing: true };
+  /** Time at which the designated VM was last asked to probe a path, by path key. */
+  const probeRequestedAtMs = new Map<string, number>();
+  let probeDraw = { untilMs: Number.NEGATIVE_INFINITY, isProbing: true };
 
-  /** One lost packet must not make an engine suspect: the second try is a new connection. */
-  async function tryToReach(address: string): Promise<boolean> {
-    for (const timeoutMs of REACH_TIMEOUTS_MS) {
+  /** Tries a second, new connection, so that one lost packet does not make an engine suspect. */
+  async function probe(address: string): Promise<boolean> {
+    for (const timeoutMs of CONNECT_TIMEOUTS_MS) {
       if (await operations.isReachable(address, timeoutMs).catch(() => false)) return true;
     }
     return false;
@@ -87,8 +92,8 @@
   function isReachable(address: string): Promise<boolean> {
     const nowMs = clock.nowMs();
     const known = reachability.get(address);
-    if (known && nowMs - known.atMs < SHARED_FOR_MS) return known.result;
-    const result = tryToReach(address);
+    if (known && nowMs - known.atMs < PROBE_REUSE_MS) return known.result;
+    const result = probe(address);
     reachability.set(address, { atMs: nowMs, result });
     return result;
   }
@@ -97,7 +102,7 @@
     return stages.find((stage) => stage.address === address)?.id;
   }
 
-  function loseEngine(row: StreamRow, id: string, evidence: string): void {
+  function markLost(row: StreamRow, id: string, evidence: string): void {
     row.lostIds.add(id);
     onLost(row, id);
     suspect(id, evidence);
@@ -109,10 +114,11 @@
     );
     checks
       .filter(({ isThere }) => !isThere)
-      .forEach(({ stage }) => loseEngine(row, stage.id, 'no-connection'));
+      .forEach(({ stage }) => markLost(row, stage.id, 'no-connection'));
     row.checks += 1;
     const [head] = row.stages;
-    // A report costs as much as a request and lags: it is for what connections do not show.
+    // A report costs as much as a request and lags, so it is read only for faults that connection
+    // attempts do not reveal.
     if (row.lostIds.size > 0 || row.checks === 1 || !head) return;
     const target: BackendTarget = { instanceId: head.id, address: head.address };
     const { stalled } = await operations.report(target, REPORT_TIMEOUT_MS);
@@ -120,7 +126,7 @@
       .filter(({ requestId }) => requestId === row.admitted.request.id)
       .forEach(({ address }) => {
         const id = instanceAt(address, row.stages);
-        if (id !== undefined) loseEngine(row, id, 'stalled');
+        if (id !== undefined) markLost(row, id, 'stalled');
       });
   }
 
@@ -132,7 +138,7 @@
       row.cut('head-lost');
       return;
     }
-    for (let tries = 0; tries < MAX_REPAIR_TRIES; tries += 1) {
+    for (let attempt = 0; attempt < MAX_REPAIR_ATTEMPTS; attempt += 1) {
       const stages = chains.repair(service, model, row.stages, row.lostIds);
       if (!stages) break;
       const target: BackendTarget = { instanceId: head.id, address: head.address };
@@ -181,18 +187,18 @@
   }
 
   /**
-   * Whether this entry is among those that probe now; drawn anew when the result of a probe is too
-   * old.
+   * Whether this entry is among those that probe now; drawn again at random when cached probes
+   * expire.
    */
   function isProbing(nowMs: number): boolean {
-    if (nowMs >= turn.untilMs) {
+    if (nowMs >= probeDraw.untilMs) {
       const entries = Math.max(1, view.listMembers('entry').length);
-      turn = {
-        untilMs: nowMs + SHARED_FOR_MS,
+      probeDraw = {
+        untilMs: nowMs + PROBE_REUSE_MS,
         isProbing: random.nextInt(entries) < PROBING_ENTRIES,
       };
     }
-    return turn.isProbing;
+    return probeDraw.isProbing;
   }
 
   async function check(row: StreamRow): Promise<void> {
@@ -200,7 +206,7 @@
     try {
       await findLostEngines(row);
     } catch (error) {
-      // No report, though the connection was accepted: the next probe decides.
+      // The connection was accepted but the report failed; the next probe decides.
       log.info('stream-check-failed', {
         requestId: row.admitted.request.id,
         problem: String(error),
@@ -213,13 +219,13 @@
   }
 
   /**
-   * A lost engine stops all streams of its path at once: one silent stream among others that go on
-   * is slow, and no reason to probe.
+   * Whether a stream has been silent for long enough to probe its path. A lost engine stops all
+   * streams of its path at once, so a single silent stream on an active path is just slow.
    */
-  function isSilentTooLong(row: StreamRow, nowMs: number, newestOnPathMs: number): boolean {
+  function isSilentTooLong(row: StreamRow, nowMs: number, lastPathEventMs: number): boolean {
     const { targetGapMs, targetLatencyMs } = row.admitted.route;
     const limitMs = row.hasBegun ? targetGapMs * GAP_SHARE : targetLatencyMs * FIRST_EVENT_SHARE;
-    if (newestOnPathMs - row.lastProgressAtMs > limitMs * OTHERS_GO_ON_SHARE) return false;
+    if (lastPathEventMs - row.lastProgressAtMs > limitMs * ACTIVE_PATH_SHARE) return false;
     const recheckMs = Math.min(MAX_RECHECK_MS, RECHECK_MS * 2 ** Math.max(0, row.checks - 1));
     return nowMs - row.lastProgressAtMs > limitMs && nowMs - row.lastCheckAtMs > recheckMs;
   }
@@ -235,25 +241,25 @@
     }
   }
 
-  /** Has the engines of a silent path probed, and repairs what runs over lost ones. */
-  async function askAbout({ stages, dataCentre }: StreamRow): Promise<void> {
+  /** Requests a probe of the engines of a silent path and repairs the streams over lost ones. */
+  async function requestProbeOf({ stages, dataCentre }: StreamRow): Promise<void> {
     const engines = stages.map(({ id, address }) => ({ instanceId: id, address }));
-    const lost = await options.askDesignated(dataCentre, engines);
+    const lost = await options.requestProbe(dataCentre, engines);
     if (!lost || lost.length === 0) return;
     repairLost((id) => lost.includes(id));
     lost.forEach((id) => suspect(id, 'no-connection'));
   }
 
-  /** Whether nothing came over the path of a begun stream, and nobody was asked why. */
-  function isAskDue(row: StreamRow, nowMs: number, newestOnPathMs: number): boolean {
-    const lastMs = askedAtMs.get(paths.nameOf(row.stages)) ?? Number.NEGATIVE_INFINITY;
-    const limitMs = row.admitted.route.targetGapMs * ASK_GAP_SHARE;
-    return row.hasBegun && nowMs - newestOnPathMs > limitMs && lastMs < newestOnPathMs;
+  /** Whether the path of a started stream is silent and no probe was requested since. */
+  function isProbeRequestDue(row: StreamRow, nowMs: number, lastPathEventMs: number): boolean {
+    const lastMs = probeRequestedAtMs.get(paths.keyOf(row.stages)) ?? Number.NEGATIVE_INFINITY;
+    const limitMs = row.admitted.route.targetGapMs * PROBE_REQUEST_GAP_SHARE;
+    return row.hasBegun && nowMs - lastPathEventMs > limitMs && lastMs < lastPathEventMs;
   }
 
-  function forgetUnused(newest: ReadonlyMap<string, number>): void {
-    askedAtMs.forEach((_, name) => {
-      if (!newest.has(name)) askedAtMs.delete(name);
+  function pruneProbeRequests(newest: ReadonlyMap<string, number>): void {
+    probeRequestedAtMs.forEach((_, key) => {
+      if (!newest.has(key)) probeRequestedAtMs.delete(key);
     });
   }
 
@@ -266,22 +272,22 @@
     isThere: isReachable,
     tick() {
       const nowMs = clock.nowMs();
-      const newest = paths.newestByPath(streams.list());
-      forgetUnused(newest);
+      const newest = paths.lastEventByPath(streams.list());
+      pruneProbeRequests(newest);
       for (const row of streams.list()) {
-        const newestOnPathMs = newest.get(paths.nameOf(row.stages)) ?? Number.NEGATIVE_INFINITY;
+        const lastPathEventMs = newest.get(paths.keyOf(row.stages)) ?? Number.NEGATIVE_INFINITY;
         const isBusy = row.isChecking || row.isRepairing || row.isPaused || row.cutReason !== null;
-        if (!isBusy && isAskDue(row, nowMs, newestOnPathMs)) {
-          askedAtMs.set(paths.nameOf(row.stages), nowMs);
-          void askAbout(row);
+        if (!isBusy && isProbeRequestDue(row, nowMs, lastPathEventMs)) {
+          probeRequestedAtMs.set(paths.keyOf(row.stages), nowMs);
+          void requestProbeOf(row);
         }
-        const isDue = !isBusy && isSilentTooLong(row, nowMs, newestOnPathMs);
+        const isDue = !isBusy && isSilentTooLong(row, nowMs, lastPathEventMs);
         if (isDue && isProbing(nowMs)) void check(row);
       }
     },
     repairLost(isLost) {
       repairLost(isLost);
-      // Read once, so that the next choice of a chain sees what is lost.
+      // Reading the revision refreshes the view, so that the next choice excludes the lost engines.
       void view.revision;
     },
   };
