--- a/packages/entry/__tests__/routingView.spec.ts
+++ b/packages/entry/__tests__/routingView.spec.ts
@@ -11,8 +11,8 @@
   return view.listBackends('engines').map(({ instanceId }) => instanceId);
 }
 
-describe('what an entry routes by', () => {
-  it('leaves out who is draining or gone, also when a late call says otherwise', () => {
+describe('the routing view of an entry', () => {
+  it('excludes servers that are draining or gone, even when a late call says otherwise', () => {
     const { view, announce } = createTables();
     announce(createEngine('e1', 0, 8), 5);
     announce(createEngine('e1', 0, 8, { state: 'draining' }), 6);
@@ -22,7 +22,7 @@
     assert.deepEqual(namesOf(view), []);
   });
 
-  it('gives an address to the backend server that announced itself last', () => {
+  it('assigns an address to the backend server that announced it last', () => {
     const { view, announce, clock } = createTables();
     announce(createEngine('old', 0, 8, { address: 'x:1' }));
     clock.advance(500);
@@ -30,7 +30,7 @@
     assert.deepEqual(namesOf(view), ['new']);
   });
 
-  it('leaves a silent one out while a source answers, and nobody when none does', () => {
+  it('excludes a silent server while a source replies, and none while no source does', () => {
     const { view, announce, clock, sync } = createTables();
     announce(createEngine('e1', 0, 8));
     clock.advance(10_000);
@@ -40,10 +40,10 @@
     assert.deepEqual(namesOf(view), []);
   });
 
-  it('does not take those for lost whose announcements are on their way', () => {
+  it('does not exclude a server whose announcement is still on its way', () => {
     const { view, announce, clock, sync } = createTables({ announcementMs: 300 });
     announce(createEngine('e1', 0, 8));
-    // Two exchanges of 800 ms after an announcement of just now.
+    // A new announcement may be delayed by two exchanges of 800 ms.
     clock.advance(1700);
     sync();
     assert.deepEqual(namesOf(view), ['e1']);
@@ -57,7 +57,7 @@
     announce(createEngine('e1', 0, 8), 3);
     table.put(FACT_KEYS.suspicion('e1'), 3, { kind: 'suspicion', instanceId: 'e1' });
     assert.deepEqual(namesOf(view), []);
-    // What the control plane says in between is no sign of life.
+    // A fractional sequence number comes from the control plane and is no sign of life.
     announce(createEngine('e1', 0, 4), 3.5);
     assert.deepEqual(namesOf(view), []);
     announce(createEngine('e1', 0, 8), 4);
@@ -93,7 +93,7 @@
   }
   const none: ReadonlySet<string> = new Set();
 
-  it('stays in its data centre, and inside one', () => {
+  it('stays in the data centre of the entry, and within one data centre', () => {
     const { chains } = createChoice();
     const chain = chains.choose('engines', MODEL, none);
     assert.deepEqual(
@@ -102,23 +102,23 @@
     );
   });
 
-  it('is made among the data centres that are asked for, however near another one is', () => {
+  it('is limited to the requested data centres, however near another one is', () => {
     const { chains } = createChoice();
-    const isApart = (dataCentre: string) => dataCentre === 'b';
-    assert.equal(chains.choose('engines', MODEL, none, isApart)?.dataCentre, 'b');
+    const isRemote = (dataCentre: string) => dataCentre === 'b';
+    assert.equal(chains.choose('engines', MODEL, none, isRemote)?.dataCentre, 'b');
     assert.equal(
       chains.choose('engines', MODEL, none, () => false),
       undefined,
     );
   });
 
-  it('counts the memory beside the weights as capacity', () => {
-    // 2,000 MB beside four layers; 840 tokens at half of a million bytes each.
+  it('derives the capacity from the memory that the weights leave free', () => {
+    // Four layers leave 2,000 MB free; a request has 840 tokens at half a million bytes each.
     const { chains } = createChoice();
     assert.equal(Math.floor(chains.choose('engines', MODEL, none)?.capacity ?? 0), 4);
   });
 
-  it('has no room for a new stream shortly before it is full, as loads are known late', () => {
+  it('admits no new stream to a chain that is nearly full, as loads are known late', () => {
     const { chains } = createChoice({ a1: 3, b1: 3 });
     assert.equal(chains.choose('engines', MODEL, none)?.hasRoom, true);
     const full = createChoice({ a1: 4.5, b1: 4.5 });
@@ -127,7 +127,7 @@
     assert.ok(chain && chain.inFlight < chain.capacity);
   });
 
-  it('takes a dear chain with room rather than a cheap one without', () => {
+  it('prefers an expensive chain with free capacity to a cheap one without', () => {
     const { chains } = createChoice({ a1: 4.5, b1: 3 }, 'b1');
     const chain = chains.choose('engines', MODEL, none);
     assert.equal(chain?.dataCentre, 'b');
@@ -142,14 +142,14 @@
     assert.equal(taken.chains.choose('engines', MODEL, none)?.hasRoom, false);
   });
 
-  it('lends what others leave only up to a part of the chain', () => {
+  it('lets an entry exceed its quota only up to a share of the chain', () => {
     const { chains } = createChoice({ a1: 4, b1: 4 }, '', { entries: () => 9 });
     const chain = chains.choose('engines', MODEL, none);
     assert.equal(chain?.hasRoom, false);
     assert.equal(chain.hasRoomForBegun, true);
   });
 
-  it('goes round a slow engine where another one holds its layers too', () => {
+  it('avoids a slow engine when another one holds the same layers', () => {
     const { chains, announce, table, clock } = createChoice();
     announce(createEngine('a3', 4, 8));
     const pathOf = () => chains.choose('engines', MODEL, none)?.stages.map(({ id }) => id);
@@ -163,7 +163,7 @@
     assert.notEqual(pathOf()?.[1], usual);
   });
 
-  it('goes to another data centre when its own is full, slow, or lacks a layer', () => {
+  it('moves to another data centre when its own is full, slow, or lacks a layer', () => {
     assert.equal(createChoice({ a1: 4 }).chains.choose('engines', MODEL, none)?.dataCentre, 'b');
     assert.equal(createChoice({}, 'a1').chains.choose('engines', MODEL, none)?.dataCentre, 'b');
     const { chains, announce } = createChoice();
@@ -189,7 +189,7 @@
 describe('a stream of events', () => {
   const events = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n';
 
-  it('is cut into whole events wherever the bytes are cut', () => {
+  it('is split into complete events wherever the bytes are split', () => {
     for (let at = 0; at <= events.length; at += 1) {
       const splitter = createEventSplitter();
       const first = splitter.push(Buffer.from(events.slice(0, at)));
@@ -201,7 +201,7 @@
     }
   });
 
-  it('knows the last whole event when it breaks inside the next one', () => {
+  it('keeps the id of the last complete event when it breaks inside the next one', () => {
     const splitter = createEventSplitter();
     splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'));
     assert.equal(splitter.lastEventId, '1');
--- a/packages/entry/__tests__/sourceChoice.spec.ts
+++ b/packages/entry/__tests__/sourceChoice.spec.ts
@@ -4,11 +4,11 @@
 import { createSourceChoice } from '../src/gossip/sourceChoice';
 
 describe('the choice of a control VM', () => {
-  it('goes on to the next one after a failure, and back to the first one later', () => {
+  it('switches to the next one after a failure, and returns to the first one later', () => {
     const clock = createManualClock();
     const choice = createSourceChoice({ clock, list: () => ['near', 'far'] });
     assert.equal(choice.current(), 'near');
-    choice.fail();
+    choice.recordFailure();
     assert.equal(choice.current(), 'far');
     clock.advance(8000);
     assert.equal(choice.current(), 'far');
@@ -16,7 +16,7 @@
     assert.equal(choice.current(), 'near');
   });
 
-  it('leaves one that answers without a fresh confirmation, but not in a rush', () => {
+  it('abandons one that replies without a fresh confirmation, but limits the rate of switches', () => {
     const clock = createManualClock();
     const choice = createSourceChoice({ clock, list: () => ['cut off', 'well', 'third'] });
     choice.recordAnswer(800);
@@ -30,7 +30,7 @@
     assert.equal(choice.current(), 'third');
   });
 
-  it('stays for a while with the first one that answers while nobody has confirmed anything', () => {
+  it('stays for a while with the first one that replies before there is any confirmation', () => {
     const clock = createManualClock();
     const choice = createSourceChoice({ clock, list: () => ['near', 'far'] });
     for (let passedMs = 0; passedMs < 3000; passedMs += 100) {
@@ -38,26 +38,26 @@
       assert.equal(choice.current(), 'near');
       clock.advance(100);
     }
-    // It may be cut off from the others, and never hear of a leader.
+    // The control VM may be partitioned from the others and never learn of a leader.
     choice.recordAnswer(null);
     assert.equal(choice.current(), 'far');
   });
 
-  it('goes to a nearer one as soon as that is known, whatever failed before', () => {
+  it('switches to a nearer one as soon as it is known, regardless of earlier failures', () => {
     const clock = createManualClock();
     let known = ['seed 1', 'seed 2', 'seed 3'];
     const choice = createSourceChoice({ clock, list: () => known });
     choice.current();
-    choice.fail();
-    choice.fail();
+    choice.recordFailure();
+    choice.recordFailure();
     assert.equal(choice.current(), 'seed 3');
     known = ['near', ...known];
     assert.equal(choice.current(), 'near');
-    choice.fail();
+    choice.recordFailure();
     assert.equal(choice.current(), 'seed 1');
   });
 
-  it('names nobody where none is known', () => {
+  it('is empty when no control VM is known', () => {
     const choice = createSourceChoice({ clock: createManualClock(), list: () => [] });
     assert.equal(choice.current(), '');
   });
--- a/packages/entry/__tests__/suspension.spec.ts
+++ b/packages/entry/__tests__/suspension.spec.ts
@@ -1,6 +1,6 @@
 /**
- * What a VM may still do after it was suspended: its steady clock left out the time, so that a
- * permission of before seemed fresh. Stops of 1, 5 and 30 seconds.
+ * Guards against stale permissions after the suspension of a VM: a clock that leaves the suspended
+ * time out makes a confirmation from before look fresh. Suspensions of 1, 5 and 30 seconds.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -12,7 +12,7 @@
 import { createTables, createEngine } from './fixtures';
 
 const REVOCATION_MS = 5000;
-const STOPS_MS = [1000, 5000, 30_000] as const;
+const SUSPENSIONS_MS = [1000, 5000, 30_000] as const;
 
 function createConfirmed(clock: ManualClock) {
   const documents = createDocumentCache<{ readonly version: number }>(clock);
@@ -24,30 +24,30 @@
 
 describe('an entry whose VM was suspended', () => {
   it('serves keys only as long after its last confirmation as if it had run', () => {
-    const ready = STOPS_MS.map((stopMs) => {
+    const ready = SUSPENSIONS_MS.map((suspensionMs) => {
       const clock = createManualClock(100_000);
       const { readiness } = createConfirmed(clock);
-      clock.suspend(stopMs);
+      clock.suspend(suspensionMs);
       return readiness.isReadyToRoute();
     });
     assert.deepEqual(ready, [true, false, false]);
   });
 
-  it('serves again after one exchange, and counts the stop in the age of a late answer', () => {
-    STOPS_MS.forEach((stopMs) => {
+  it('serves again after one exchange, and includes the suspension in the age of a late reply', () => {
+    SUSPENSIONS_MS.forEach((suspensionMs) => {
       const clock = createManualClock(100_000);
       const { documents, readiness } = createConfirmed(clock);
       const sentAtMs = clock.nowMs();
-      clock.suspend(stopMs);
-      // The answer to what was asked before the stop: it says how things stood then.
+      clock.suspend(suspensionMs);
+      // The reply to a request from before the suspension confirms only the state at that time.
       documents.confirm(1, sentAtMs);
-      assert.equal(readiness.isReadyToRoute(), stopMs < REVOCATION_MS * 0.85);
+      assert.equal(readiness.isReadyToRoute(), suspensionMs < REVOCATION_MS * 0.85);
       documents.confirm(1, clock.nowMs());
       assert.equal(readiness.isReadyToRoute(), true);
     });
   });
 
-  it('renews no retry budget by it', () => {
+  it('does not renew its retry budget', () => {
     const clock = createManualClock(100_000);
     const budget = createWindowBudget({ clock, windowMs: 10_000, ratio: 0, allowance: () => 1 });
     assert.equal(budget.spend(), true);
@@ -57,7 +57,7 @@
     assert.equal(budget.spend(), true);
   });
 
-  it('loses no backend server that it received just before its last exchange', () => {
+  it('keeps a backend server that it received just before its last exchange', () => {
     const { clock, view, announce, sync } = createTables();
     announce(createEngine('e1', 0, 8));
     sync();
@@ -66,8 +66,8 @@
   });
 });
 
-describe('a control VM that was suspended while it held back an answer', () => {
-  it('does not tell the entry that it waited so long, as the entry counts by that', async () => {
+describe('a control VM that was suspended while it held back a reply', () => {
+  it('does not report the suspension as waiting time, which the entry relies on', async () => {
     const clock = createManualClock(100_000);
     const documents = createDocumentCache<{ readonly version: number }>(clock);
     documents.offer({ version: 1 });
--- a/packages/entry/__tests__/syncHistory.spec.ts
+++ b/packages/entry/__tests__/syncHistory.spec.ts
@@ -7,7 +7,7 @@
   const clock = createManualClock(100_000);
   let syncedAtMs = Number.NEGATIVE_INFINITY;
   const history = createSyncHistory({ clock, syncedAtMs: () => syncedAtMs });
-  /** Lets time pass, with an answer of a control VM every 800 ms or none. */
+  /** Advances time, with a reply of a control VM every 800 ms or none at all. */
   function pass(durationMs: number, isAnswered: boolean): void {
     for (let passedMs = 0; passedMs < durationMs; passedMs += 40) {
       clock.advance(40);
@@ -18,8 +18,8 @@
   return { clock, history, pass };
 }
 
-describe('a VM that has to know who else is there', () => {
-  it('does so after exchanging facts for as long as one that starts is unknown', () => {
+describe('the list of members on a VM', () => {
+  it('is complete after facts were exchanged for as long as a new member stays unknown', () => {
     const { history, pass } = createHistory();
     assert.equal(history.isSettled(), false);
     pass(2000, true);
@@ -28,7 +28,7 @@
     assert.equal(history.isSettled(), true);
   });
 
-  it('does so no longer while it hears nothing, and for that time after', () => {
+  it('is incomplete while no control VM replies, and for the same time afterwards', () => {
     const { history, pass } = createHistory();
     pass(4000, true);
     pass(3000, false);
@@ -39,7 +39,7 @@
     assert.equal(history.isSettled(), true);
   });
 
-  it('does not after a suspension', () => {
+  it('is incomplete after a suspension', () => {
     const { clock, history, pass } = createHistory();
     pass(4000, true);
     clock.suspend(10_000);
--- a/packages/entry/src/gossip/entryFacts.ts
+++ b/packages/entry/src/gossip/entryFacts.ts
@@ -1,4 +1,4 @@
-/** What an entry knows of the others, and how it spreads what it knows itself. */
+/** The facts that an entry knows of others, and the exchange that publishes its own. */
 import type { StoredDocument } from '@spoolplank/control';
 import {
   createDocumentCache,
@@ -25,41 +25,41 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly peers: PeerClient;
-  /** Unique to this incarnation of the process. */
+  /** Identifies this incarnation of the process. */
   readonly run: string;
   readonly host: string;
   readonly dataCentre: string;
-  /** Hosts of control VMs, as the settings name them. */
+  /** Hosts of control VMs named in the settings. */
   readonly seeds: () => readonly string[];
   readonly controlPeerPort: number;
   readonly readDocument: (document: StoredDocument) => RoutingDocument;
   readonly announcementMs: number;
-  /** The load of this VM that was stated last. */
+  /** The last stated load of this VM. */
   readonly statedLoad: () => LoadFact['inFlight'];
   readonly onDocument: (document: RoutingDocument) => void;
 }
 
-/** States something with each exchange. */
+/** Lists statements to send with each exchange. */
 export type StatementSource = () => readonly FactUpdate<SystemFact>[];
 
 export interface EntryFacts {
   readonly table: FactTable<SystemFact>;
   readonly documents: DocumentCache<StoredDocument>;
   readonly view: RoutingView;
-  /** When a control VM last answered, on this VM's clock; not finite before the first answer. */
+  /** Time of the last reply of a control VM, on this VM's clock; not finite before the first. */
   readonly syncedAtMs: number;
   addStatements(source: StatementSource): void;
-  /** Sets who is called with each fact that is to be acted on as soon as it is received. */
+  /** Adds a listener for facts that require action as soon as they are received. */
   onUrgentFact(listener: (body: SystemFact) => void): void;
-  /** Sends what this VM states now, without waiting for the next exchange. */
+  /** Sends the statements of this VM at once, without waiting for the next exchange. */
   spread(): void;
   start(): void;
-  /** Forgets what nobody states any more. */
+  /** Removes facts that are no longer stated by any VM. */
   sweep(): void;
   stop(): void;
 }
 
-/** Facts that this VM acts on as soon as it receives them. */
+/** Kinds of facts that this VM acts on as soon as it receives them. */
 const URGENT_FACTS: ReadonlySet<SystemFactKind> = new Set<SystemFactKind>([
   'suspicion',
   'crash',
--- a/packages/entry/src/gossip/entryFeed.ts
+++ b/packages/entry/src/gossip/entryFeed.ts
@@ -1,4 +1,4 @@
-/** The exchange of facts between an entry and the control VM that it asks. */
+/** Exchanges facts between an entry and its current control VM. */
 import type { StoredDocument } from '@spoolplank/control';
 import { createFeedClient } from '@spoolplank/membership';
 import type {
@@ -26,25 +26,25 @@
   readonly documents: DocumentCache<StoredDocument>;
   readonly statements: () => readonly FactUpdate<SystemFact>[];
   readonly listControlMembers: () => readonly MemberFact[];
-  /** Hosts of control VMs, as the settings name them. */
+  /** Hosts of control VMs named in the settings. */
   readonly seeds: () => readonly string[];
   readonly controlPeerPort: number;
   readonly onDocument: (document: StoredDocument) => void;
 }
 
-/** An exchange held back this long costs 1.25 exchanges a second and process. */
+/** Long-poll time of an exchange; it amounts to 1.25 exchanges per second and process. */
 const FEED_WAIT_MS = 800;
 const FEED_TIMEOUT_MS = 1400;
 const FEED_RETRY_MS = 100;
-/** Ages beyond this, or infinite ones, are logged as this. */
+/** Larger and infinite ages are logged as this value. */
 const MAX_AGE_MS = 60_000;
 
 export function createEntryFeed(options: EntryFeedOptions): FeedClient {
   const { clock, log, peers, host, dataCentre, table, documents } = options;
 
   /**
-   * Control VMs in the order of preference: of this data centre first, and among those in an
-   * order of this entry's own, so that entries spread over them.
+   * Control VMs in order of preference: those of this data centre first, each group ranked by a
+   * hash with this entry's host, so that entries spread over them.
    */
   function listSources(): readonly string[] {
     const members = options.listControlMembers();
@@ -80,7 +80,7 @@
         }
         return reply;
       } catch (error) {
-        sources.fail();
+        sources.recordFailure();
         throw error;
       }
     },
--- a/packages/entry/src/gossip/entryStatements.ts
+++ b/packages/entry/src/gossip/entryStatements.ts
@@ -1,4 +1,4 @@
-/** What an entry states of itself with each exchange of facts. */
+/** The statements that an entry makes about itself with each exchange of facts. */
 import { FACT_KEYS } from '@spoolplank/membership';
 import type {
   FactTable,
@@ -10,7 +10,7 @@
 
 export interface EntryStatementsOptions {
   readonly table: FactTable<SystemFact>;
-  /** Unique to this incarnation of the process. */
+  /** Identifies this incarnation of the process. */
   readonly run: string;
   readonly vmId: string;
   readonly host: string;
@@ -19,14 +19,14 @@
   readonly peerPort: number;
   readonly state: () => MemberFact['state'];
   readonly inFlight: () => LoadFact['inFlight'];
-  /** Suspicions that are to be repeated. */
+  /** Suspicions that are still repeated. */
   readonly listSuspicions: () => readonly FactUpdate<SystemFact>[];
 }
 
 export interface EntryStatements {
-  /** The statements of now. */
+  /** The current statements, under a new sequence number. */
   list(): readonly FactUpdate<SystemFact>[];
-  /** The load that was stated last. */
+  /** The last stated load. */
   readonly statedLoad: LoadFact['inFlight'];
 }
 
--- a/packages/entry/src/gossip/ownStatements.ts
+++ b/packages/entry/src/gossip/ownStatements.ts
@@ -1,25 +1,25 @@
-/** What this VM states once, repeated with each exchange for a while. */
+/** One-time statements of this VM, which are repeated with each exchange for a while. */
 import type { Fact, FactTable, FactUpdate, SystemFact } from '@spoolplank/membership';
 import type { Clock } from '@spoolplank/shared';
 
 export interface OwnStatementsOptions {
   readonly clock: Clock;
   readonly table: FactTable<SystemFact>;
-  /** Makes what this VM states known to others at once. */
+  /** Sends the statements of this VM to others at once. */
   readonly spread: () => void;
 }
 
 export interface OwnStatements {
-  /** States a fact as of now. */
+  /** States a fact with the current time and sends it at once. */
   state(key: string, body: SystemFact): void;
-  /** What is to be stated with the next exchange, and these facts besides. */
+  /** Statements to send with the next exchange, including the facts with the given keys. */
   list(alsoKeys?: readonly string[]): readonly FactUpdate<SystemFact>[];
-  /** Forgets what is repeated no more. */
+  /** Removes statements that are no longer repeated. */
   sweep(): void;
 }
 
-/** For a control VM that was just exchanged for another, or has just started again. */
-const REPEAT_MS = 5000;
+/** Covers the case that this VM has just switched its control VM, or that one has restarted. */
+const STATEMENT_REPEAT_MS = 5000;
 
 export function createOwnStatements({ clock, table, spread }: OwnStatementsOptions): OwnStatements {
   const statedAtMs = new Map<string, number>();
@@ -42,7 +42,7 @@
     list(alsoKeys = []) {
       const nowMs = clock.nowMs();
       const repeated = [...statedAtMs]
-        .filter(([, atMs]) => nowMs - atMs < REPEAT_MS)
+        .filter(([, atMs]) => nowMs - atMs < STATEMENT_REPEAT_MS)
         .map(([key]) => key);
       return [...new Set([...repeated, ...alsoKeys])].flatMap((key) => {
         const fact = table.find(key);
@@ -51,7 +51,7 @@
     },
     sweep() {
       statedAtMs.forEach((atMs, key) => {
-        if (clock.nowMs() - atMs > REPEAT_MS) statedAtMs.delete(key);
+        if (clock.nowMs() - atMs > STATEMENT_REPEAT_MS) statedAtMs.delete(key);
       });
     },
   };
--- a/packages/entry/src/gossip/routingView.ts
+++ b/packages/entry/src/gossip/routingView.ts
@@ -1,4 +1,4 @@
-/** What an entry routes by: the document and the facts, made ready for look-ups. */
+/** Indexes the configuration document and the facts for the routing of requests. */
 import { FACT_KEYS, isLeaving, lostAfterMs, readSlowdown } from '@spoolplank/membership';
 import type {
   BackendFact,
@@ -19,37 +19,40 @@
   readonly table: FactTable<SystemFact>;
   readonly documents: DocumentCache<Document>;
   readonly readDocument: (document: Document) => RoutingDocument;
-  /** When a source last answered; ages count up to then, so that a lost source ages nobody. */
+  /**
+   * Time of the last reply of a source. Ages are measured up to this time, so that facts do not
+   * expire while the source is lost.
+   */
   readonly syncedAtMs: () => number;
   readonly announcementMs: number;
-  /** What this entry stated last of its own requests in flight; it is part of the sums. */
+  /** The last stated load of this entry, which is included in the sums and subtracted from them. */
   readonly ownStatedLoad: () => LoadFact['inFlight'];
 }
 
 export interface RoutingView {
   /** Null before the first document. */
   routes(): RouteTable | null;
-  /** Backend servers of a service that take requests. */
+  /** Backend servers of a service that accept requests. */
   listBackends(service: string): readonly BackendFact[];
   listMembers(role: MemberFact['role']): readonly MemberFact[];
-  /** Requests that other entries have in flight on the chain that begins with an engine. */
+  /** Requests that other entries have in flight on the chain with the given first engine. */
   othersInFlight(headId: string): number;
-  /** The capacity of each data centre, as last stated; some of it may be old. */
+  /** The last stated capacity of each data centre; some of these facts may be old. */
   listCapacities(): readonly Fact<CapacityFact>[];
-  /** The limit of a server that others stated; null where there is none. */
+  /** The rate limit of a server as stated by other VMs; null when there is none. */
   limitPerSOf(instanceId: string): number | null;
-  /** The time up to which ages count, on this VM's clock: when a source last answered. */
+  /** The time that ages are measured up to, on this VM's clock: the last reply of a source. */
   referenceMs(): number;
-  /** How much longer an engine takes for everything than its kind does. */
+  /** Factor by which an engine is slower than others of its kind. */
   slowdownOf(instanceId: string): number;
   findByAddress(address: string): Fact<SystemFact> | undefined;
-  /** Changes whenever anything changed that bears on where requests go. */
+  /** Changes with every change that affects where requests are sent. */
   readonly revision: number;
 }
 
-/** Two exchanges held back to the full, and one that was lost. */
+/** Covers two exchanges that were held for the full wait, and one that was lost. */
 const MEMBER_LOST_MS = 2600;
-/** How often ages are looked at when nothing else changes. */
+/** Interval at which ages are evaluated when no fact changes. */
 const REFRESH_MS = 200;
 
 export function createRoutingView<Document extends { readonly version: number }>(
@@ -58,9 +61,9 @@
   const { clock, table, documents, readDocument, syncedAtMs, announcementMs } = options;
   let routes: RouteTable | null = null;
   let refreshedAtMs = Number.NEGATIVE_INFINITY;
-  let seenRevision = -1;
+  let lastTableRevision = -1;
   let revision = 0;
-  /** Everything that bears on where requests go, in an order that lasts. */
+  /** Everything that affects where requests are sent, in a stable order. */
   let signature: (BackendFact | number)[] = [];
   let backends = new Map<string, BackendFact[]>();
   let members: MemberFact[] = [];
@@ -69,9 +72,9 @@
   let capacities: Fact<CapacityFact>[] = [];
   let limitsPerS = new Map<string, number>();
 
-  function isSuspect(instanceId: string, sequence: number): boolean {
+  function isSuspected(instanceId: string, sequence: number): boolean {
     const suspicion = table.find(FACT_KEYS.suspicion(instanceId));
-    // Steps between two announcements come from the control plane, not from the engine itself.
+    // Fractional sequence numbers come from the control plane, not from the engine itself.
     return suspicion !== undefined && suspicion.sequence >= Math.floor(sequence);
   }
 
@@ -83,11 +86,11 @@
     return routes;
   }
 
-  function takeBackend(fact: Fact<SystemFact>, body: BackendFact, nowMs: number): void {
-    // What a server said with an answer outlives announcements that were made before it.
+  function addBackend(fact: Fact<SystemFact>, body: BackendFact, nowMs: number): void {
+    // A departure notice in a response overrides announcements that were made before it.
     if (body.state !== 'ready' || isLeaving(table, body.instanceId)) return;
     const isLost = nowMs - fact.receivedAtMs > lostAfterMs(announcementMs);
-    if (isLost || isSuspect(body.instanceId, fact.sequence)) return;
+    if (isLost || isSuspected(body.instanceId, fact.sequence)) return;
     const document = currentRoutes()?.document;
     if (document && findMisfit(body, document) !== null) return;
     const known = backends.get(body.service);
@@ -96,13 +99,13 @@
     signature.push(body, Math.round(readSlowdown(table, body.instanceId, clock.nowMs())));
   }
 
-  function takeLoad({ inFlight: loads }: LoadFact): void {
+  function addLoad({ inFlight: loads }: LoadFact): void {
     Object.entries(loads).forEach(([headId, count]) => {
       inFlight.set(headId, (inFlight.get(headId) ?? 0) + count);
     });
   }
 
-  function takeCapacity(fact: Fact<CapacityFact>, ageMs: number): void {
+  function addCapacity(fact: Fact<CapacityFact>, ageMs: number): void {
     capacities.push(fact);
     if (ageMs >= MEMBER_LOST_MS) return;
     Object.entries(fact.body.limitsPerS ?? {}).forEach(([instanceId, perS]) =>
@@ -116,8 +119,8 @@
 
   function refresh(): void {
     const nowMs = clock.nowMs();
-    if (table.revision === seenRevision && nowMs - refreshedAtMs < REFRESH_MS) return;
-    seenRevision = table.revision;
+    if (table.revision === lastTableRevision && nowMs - refreshedAtMs < REFRESH_MS) return;
+    lastTableRevision = table.revision;
     refreshedAtMs = nowMs;
     backends = new Map();
     members = [];
@@ -125,11 +128,11 @@
     inFlight = new Map();
     capacities = [];
     limitsPerS = new Map();
-    const lastSignature = signature;
+    const previousSignature = signature;
     signature = [];
     const facts = table.list();
     const referenceMs = findReferenceMs();
-    // An address may have a new owner: the latest one has it.
+    // An address may have been taken over: the backend server that announced it last owns it.
     facts.forEach((fact) => {
       if (fact.body.kind !== 'backend') return;
       const known = byAddress.get(fact.body.address);
@@ -139,14 +142,14 @@
       const { body, receivedAtMs } = fact;
       const ageMs = referenceMs - receivedAtMs;
       if (body.kind === 'backend') {
-        if (byAddress.get(body.address) === fact) takeBackend(fact, body, referenceMs);
+        if (byAddress.get(body.address) === fact) addBackend(fact, body, referenceMs);
       } else if (body.kind === 'member' && ageMs < MEMBER_LOST_MS) members.push(body);
-      else if (body.kind === 'load' && ageMs < MEMBER_LOST_MS) takeLoad(body);
-      else if (body.kind === 'capacity') takeCapacity({ ...fact, body }, ageMs);
+      else if (body.kind === 'load' && ageMs < MEMBER_LOST_MS) addLoad(body);
+      else if (body.kind === 'capacity') addCapacity({ ...fact, body }, ageMs);
     });
     const isSame =
-      signature.length === lastSignature.length &&
-      signature.every((part, index) => part === lastSignature[index]);
+      signature.length === previousSignature.length &&
+      signature.every((part, index) => part === previousSignature[index]);
     if (!isSame) revision += 1;
   }
 
--- a/packages/entry/src/gossip/syncHistory.ts
+++ b/packages/entry/src/gossip/syncHistory.ts
@@ -1,37 +1,37 @@
-/** How long this VM has exchanged facts without a break. */
+/** Tracks how long this VM has exchanged facts without interruption. */
 import type { Clock } from '@spoolplank/shared';
 import { MEMBERS_KNOWN_MS } from '../admission/retryBudgets';
 
 export interface SyncHistoryOptions {
   readonly clock: Pick<Clock, 'nowMs'>;
-  /** When a control VM last answered; not finite before the first answer. */
+  /** Time of the last reply of a control VM; not finite before the first. */
   readonly syncedAtMs: () => number;
 }
 
 export interface SyncHistory {
-  /** Lets time pass. */
+  /** Updates the history; called periodically. */
   tick(): void;
   /**
-   * Whether the list of members is complete: facts have been exchanged without a break for as long
-   * as a new member takes to be known.
+   * Whether the list of members is complete: facts have been exchanged without interruption for as
+   * long as a new member takes to become known.
    */
   isSettled(): boolean;
 }
 
 export function createSyncHistory({ clock, syncedAtMs }: SyncHistoryOptions): SyncHistory {
-  let sinceMs = Number.POSITIVE_INFINITY;
-  let tickedAtMs = clock.nowMs();
+  let inSyncSinceMs = Number.POSITIVE_INFINITY;
+  let lastTickAtMs = clock.nowMs();
 
   const isRecent = (atMs: number): boolean => clock.nowMs() - atMs < MEMBERS_KNOWN_MS;
-  // A VM that stood still may receive facts before it ticks again.
-  const isInSync = (): boolean => isRecent(syncedAtMs()) && isRecent(tickedAtMs);
+  // After a suspension, a VM may receive facts before its next tick.
+  const isInSync = (): boolean => isRecent(syncedAtMs()) && isRecent(lastTickAtMs);
 
   return {
     tick() {
       const nowMs = clock.nowMs();
-      sinceMs = isInSync() ? Math.min(sinceMs, nowMs) : Number.POSITIVE_INFINITY;
-      tickedAtMs = nowMs;
+      inSyncSinceMs = isInSync() ? Math.min(inSyncSinceMs, nowMs) : Number.POSITIVE_INFINITY;
+      lastTickAtMs = nowMs;
     },
-    isSettled: () => isInSync() && clock.nowMs() - sinceMs >= MEMBERS_KNOWN_MS,
+    isSettled: () => isInSync() && clock.nowMs() - inSyncSinceMs >= MEMBERS_KNOWN_MS,
   };
 }
