--- a/packages/entry/__tests__/addressBook.spec.ts
+++ b/packages/entry/__tests__/addressBook.spec.ts
@@ -5,7 +5,7 @@
 import { createAddressBook } from '../src/addressBook';
 import { createTables } from './fixtures';
 
-/** Entries of two data centres, all known since just now. */
+/** Entries of two data centres, all of which were announced just now. */
 function createBook(perDataCentre: number, overrides: Partial<MemberFact> = {}) {
   const { view, table, sync } = createTables();
   ['a', 'b'].forEach((dataCentre) => {
@@ -35,7 +35,7 @@
 }
 
 describe('the addresses that a caller gets', () => {
-  it('are a few of its own data centre, the same each time', () => {
+  it('are a few from its own data centre, and the same each time', () => {
     const { list } = createBook(43);
     const first = list('caller-1');
     assert.equal(first.length, 6);
@@ -44,7 +44,7 @@
     assert.notDeepEqual(list('caller-2'), first);
   });
 
-  it('leave it few dead ones to find when a quarter of all VMs is lost', () => {
+  it('include few dead ones when a quarter of all VMs is lost', () => {
     const { list } = createBook(43);
     const isDead = (address: string) => Number(address.slice(1).split(':')[0]) % 4 === 0;
     const dead = Array.from({ length: 200 }, (_, index) => list(`c${index}`).filter(isDead).length);
@@ -63,13 +63,13 @@
     assert.ok([...counts.values()].every((count) => count > 30 && count < 95));
   });
 
-  it('are those of all data centres where its own has less than two', () => {
+  it('come from all data centres when its own has fewer than two', () => {
     const { list } = createBook(1);
     assert.deepEqual([...list('caller-1')].sort(), ['a0:80', 'b0:80']);
     assert.deepEqual([...list('caller-1', 'elsewhere')].sort(), ['a0:80', 'b0:80']);
   });
 
-  it('leave out who is leaving, also the VM that is asked', () => {
+  it('exclude entries that are leaving, including the one that is asked', () => {
     const { list, leave } = createBook(3);
     assert.equal(list('caller-1').length, 3);
     leave();
--- a/packages/entry/__tests__/readiness.spec.ts
+++ b/packages/entry/__tests__/readiness.spec.ts
@@ -25,7 +25,7 @@
 }
 
 describe('a VM', () => {
-  it('is ready with a document that was confirmed lately', () => {
+  it('is ready with a document that was confirmed recently', () => {
     const { readiness, age } = createSetting();
     assert.deepEqual([readiness.isReady(), readiness.memberState()], [true, 'ready']);
     age(REVOCATION_MS);
@@ -38,12 +38,12 @@
     assert.equal(readiness.isReady(), false);
   });
 
-  it('is not ready while it can accept no connection, but serves those that it has', () => {
+  it('is not ready while it cannot accept connections, but serves those that it has', () => {
     const { readiness } = createSetting({ isAccepting: false });
     assert.deepEqual([readiness.isReady(), readiness.isReadyToRoute()], [false, true]);
   });
 
-  it('serves on while it leaves, and calls itself not ready', () => {
+  it('continues to serve while it leaves, but is not ready', () => {
     const { readiness } = createSetting();
     readiness.beginLeaving();
     assert.deepEqual(
--- a/packages/entry/src/addressBook.ts
+++ b/packages/entry/src/addressBook.ts
@@ -1,40 +1,40 @@
 /**
- * Which entries a caller is to connect to.
+ * Selects the entries that a caller should connect to.
  *
- * The load pattern it answers: a quarter of all VMs lose power at once. A caller that knows forty
- * addresses finds ten dead ones by trying them, a second each; one that knows six finds one or two.
- * So every caller gets a few addresses, the same ones each time, and callers are spread over all.
+ * When a quarter of all VMs lose power at once, a caller that knows forty addresses has to try ten
+ * dead ones, at a second each; a caller that knows six has to try one or two. So every caller gets
+ * a few addresses, the same ones each time, and callers are spread over all entries.
  */
 import { rankByRendezvous } from '@spoolplank/shared';
 import type { RoutingView } from './gossip/routingView';
 
 export interface AddressBookOptions {
   readonly view: RoutingView;
-  /** This entry's own address; null while it takes no requests. */
+  /** This entry's own address; null while it does not accept requests. */
   readonly ownAddress: () => string | null;
-  /** Address by which this entry is known among the others. */
+  /** Address under which other VMs know this entry. */
   readonly selfAddress: string;
 }
 
-/** Who asks for addresses. */
-export interface AddressQuestion {
+/** The caller that addresses are requested for. */
+export interface AddressQuery {
   readonly dataCentre: string;
-  /** What identifies the caller, such as its host: it keeps its addresses by that. */
+  /** Stable identifier of the caller, such as its host; it determines the addresses. */
   readonly caller: string;
 }
 
 export interface AddressBook {
-  /** Addresses that a caller should connect to, in its own data centre where there are enough. */
-  list(question: AddressQuestion): readonly string[];
+  /** Addresses that a caller should connect to, from its own data centre if it has enough. */
+  list(query: AddressQuery): readonly string[];
 }
 
 /**
- * Addresses that one caller gets. With a quarter of all VMs dead one caller in 4,000 knows only
- * dead ones; with four addresses it would be one in 256.
+ * Number of addresses for one caller. With a quarter of all VMs dead, one caller in 4,000 knows
+ * only dead ones; with four addresses it would be one in 256.
  */
 const ADDRESSES_PER_CALLER = 6;
-/** With fewer in the caller's data centre, the loss of one would leave it none to turn to. */
-const MIN_LOCAL = 2;
+/** With fewer entries in its data centre, a caller could be left without any by a single loss. */
+const MIN_LOCAL_ADDRESSES = 2;
 
 export function createAddressBook(options: AddressBookOptions): AddressBook {
   const { view, selfAddress } = options;
@@ -47,7 +47,7 @@
         callerAddress === selfAddress ? own !== null : state === 'ready',
       );
       const local = usable.filter((member) => member.dataCentre === dataCentre);
-      const chosen = local.length >= MIN_LOCAL ? local : usable;
+      const chosen = local.length >= MIN_LOCAL_ADDRESSES ? local : usable;
       const addresses = [...new Set(chosen.map(({ callerAddress }) => callerAddress ?? ''))];
       return rankByRendezvous(caller, addresses).slice(0, ADDRESSES_PER_CALLER);
     },
--- a/packages/entry/src/callerRequest.ts
+++ b/packages/entry/src/callerRequest.ts
@@ -1,47 +1,47 @@
-/** How a request arrives and how its answer leaves; a protocol implements both. */
+/** Incoming requests and their responses; each protocol implements both. */
 import type { SpoolplankError } from '@spoolplank/shared';
 
-/** Headers in the order and spelling of the wire: name, value, name, value. */
+/** Headers in the order and spelling of the wire, as alternating names and values. */
 export type RawHeaders = readonly string[];
 
 export interface CallerRequest {
-  /** Given by the caller, unique to this attempt; empty when there was none. */
+  /** Id set by the caller, unique to this attempt; empty when there is none. */
   readonly id: string;
   readonly method: string;
   /** Path and query as sent. */
   readonly url: string;
   readonly host: string;
   readonly key: string | null;
-  /** How long the caller waits, from the arrival on; null when it did not say. */
+  /** Time that the caller waits, counted from the arrival; null when it set none. */
   readonly deadlineMs: number | null;
-  /** Last event that the caller has of a stream; null when it begins anew. */
+  /** Id of the last event that the caller has received; null for a new stream. */
   readonly lastEventId: string | null;
-  /** Tokens of the prompt and at most of the answer; 0 where they are not known. */
+  /** Tokens of the prompt and maximum tokens of the answer; 0 when unknown. */
   readonly promptTokens: number;
   readonly maxAnswerTokens: number;
-  /** What goes on to a backend server as it came. */
+  /** Headers that are passed through to backend servers unchanged. */
   readonly headers: RawHeaders;
   readonly body: Buffer;
-  /** On this VM's monotonic clock. */
+  /** Arrival time on this VM's monotonic clock. */
   readonly arrivedAtMs: number;
 }
 
 export interface CallerAnswer {
-  /** Whether the caller has gone, or the answer was cut. */
+  /** Whether the caller has disconnected, or the response was cut. */
   readonly isClosed: boolean;
-  /** Called once when the caller has gone before the answer ended. */
+  /** Sets a listener that is called once if the caller disconnects before the response ends. */
   onClosed(listener: () => void): void;
-  /** Sends a whole answer. */
+  /** Sends a complete response. */
   send(status: number, headers: RawHeaders, body: Buffer): void;
-  /** Begins a stream. */
+  /** Starts a streamed response. */
   begin(status: number, headers: RawHeaders): void;
-  /** Passes on a piece; false when the caller reads too slowly to take more now. */
+  /** Writes a chunk; returns false when the caller reads too slowly and the buffer is full. */
   write(piece: Buffer): boolean;
-  /** Called when more can be written. */
+  /** Sets a listener that is called when more can be written. */
   onWritable(listener: () => void): void;
   end(): void;
-  /** Cuts the connection, so that the answer cannot look whole. */
+  /** Closes the connection, so that the truncated response cannot be taken for a complete one. */
   cut(): void;
-  /** Answers with an error of this system. */
+  /** Responds with an error of this system. */
   refuse(error: SpoolplankError): void;
 }
--- a/packages/entry/src/entryContext.ts
+++ b/packages/entry/src/entryContext.ts
@@ -1,4 +1,4 @@
-/** What every part of an entry is given. */
+/** Dependencies and types shared by the components of an entry. */
 import type { EventLog, Metrics } from '@spoolplank/node';
 import type { BackendLoadTable, Organisation, Route, WindowBudget } from '@spoolplank/routing';
 import type { Clock, Random } from '@spoolplank/shared';
@@ -21,53 +21,53 @@
   readonly loads: BackendLoadTable;
   /** The retry budget of a service. */
   readonly budgetOf: (service: string) => WindowBudget;
-  /** Contents that are run no more. */
+  /** Contents that must not run again, because they crashed backend servers. */
   readonly quarantine: Quarantine;
-  /** Called with runs that broke off before anything came of them. */
+  /** Records requests that are sent, and runs whose backend server may have crashed. */
   readonly crashes: CrashReporter;
-  /** What backend servers said of themselves to this VM. */
+  /** Backoffs and departures that backend servers announced to this VM. */
   readonly notices: ServerNotices;
-  /** Limits that backend servers named to this VM. */
+  /** Rate limits that backend servers named to this VM. */
   readonly limits: ServerLimits;
   /** Age of the facts that requests are routed by, in milliseconds. */
   readonly factsAgeMs: () => number;
 }
 
-/** A request that was admitted, on its way to a service. */
+/** A request that was admitted and is to be dispatched to a service. */
 export interface AdmittedRequest {
   readonly request: CallerRequest;
   readonly answer: CallerAnswer;
   readonly route: Route;
   readonly service: string;
   readonly organisation: Organisation | null;
-  /** Time since the caller's first try, before the request arrived here. */
+  /** Time from the caller's first attempt to the arrival of this request. */
   readonly callerAgeMs: number;
-  /** When the caller or the operator stops waiting, on this VM's clock. */
+  /** Deadline set by the caller or the operator, on this VM's clock. */
   readonly endsAtMs: number;
 }
 
-/** What decided where a stream ran, for the log. */
+/** The decision where a stream ran, for the log. */
 export interface SlotDecision {
-  /** The VM that gave out the slot; null where the entry decided by itself. */
+  /** VM that granted the slot; null when the entry selected the chain itself. */
   readonly grantedBy: string | null;
   readonly dataCentre: string;
-  /** Sizes in flight on the chain when it was chosen, and how much it holds. */
+  /** Sum of the sizes in flight on the chain when it was chosen, and its capacity. */
   readonly inFlight: number;
   readonly capacity: number;
 }
 
-/** How a request ended, for the log and the counters. */
+/** How a request ended, for the log and the metrics. */
 export interface RequestEnd {
   readonly outcome: 'served' | 'failed-there' | 'refused' | 'failed' | 'broken-off' | 'caller-left';
   readonly status: number;
   readonly attempts: number;
-  /** Backend server, or the engines of the path, that served last. */
+  /** Backend server, or engines of the path, of the last attempt. */
   readonly servedBy: readonly string[];
   readonly firstByteMs: number | null;
-  /** Where its last attempt ran, and why there. */
+  /** The slot decision of the last attempt. */
   readonly slot?: SlotDecision | null;
-  /** Time that it waited here for a slot at a backend server, over all attempts. */
+  /** Time spent waiting for a slot at a backend server, over all attempts. */
   readonly waitedMs?: number;
-  /** The longest pause between two events of a stream, as passed on. */
+  /** The longest pause between two forwarded events of a stream. */
   readonly longestPauseMs?: number;
 }
--- a/packages/entry/src/entryNode.ts
+++ b/packages/entry/src/entryNode.ts
@@ -1,4 +1,4 @@
-/** The role `entry` with everything it needs injected. */
+/** Wires the components of the role `entry` from injected dependencies. */
 import type { StoredDocument } from '@spoolplank/control';
 import { createSiblingBackoffs, findBackend } from '@spoolplank/membership';
 import type { LoadFact } from '@spoolplank/membership';
@@ -38,41 +38,41 @@
   readonly log: EventLog;
   readonly metrics: Metrics;
   readonly peers: PeerClient;
-  /** Unique to this incarnation of the process. */
+  /** Identifies this incarnation of the process. */
   readonly run: string;
   readonly vmId: string;
   readonly host: string;
   readonly dataCentre: string;
   readonly callerAddress: string;
-  /** Hosts of control VMs, as the settings name them. */
+  /** Hosts of control VMs named in the settings. */
   readonly seeds: () => readonly string[];
   readonly controlPeerPort: number;
-  /** Where other entries call this one. */
+  /** Port on which other entries call this one. */
   readonly peerPort: number;
   readonly operations: BackendOperations;
   readonly readDocument: (document: StoredDocument) => RoutingDocument;
   readonly announcementMs: number;
   readonly retryLimits: RetryLimits;
-  /** How long a key may still be served after it was taken away. */
+  /** Maximum time for which a revoked key may still be served. */
   readonly revocationMs: number;
   readonly onDocument: (document: RoutingDocument) => void;
-  /** Whether new connections of callers can be accepted; a VM that cannot is not ready. */
+  /** Whether the VM can accept new connections of callers; it is not ready while it cannot. */
   readonly canAccept?: () => boolean;
 }
 
 export interface EntryNode {
   readonly addresses: AddressBook;
-  /** What other VMs call here. */
+  /** RPC methods that other VMs call on this one. */
   readonly methods: Readonly<Record<string, PeerMethod>>;
   start(): void;
-  /** Serves one request to its end. */
+  /** Serves one request until its response has ended. */
   handle(request: CallerRequest, answer: CallerAnswer): Promise<void>;
   isReady(): boolean;
-  /** Lets a content be run again that is in quarantine; false when nothing is held against it. */
+  /** Releases a content from quarantine; returns false when nothing is recorded against it. */
   releaseContent(digest: string): boolean;
-  /** Leaves the addresses; requests that still come are served. */
+  /** Withdraws this entry from the address lists; requests that still arrive are served. */
   beginLeaving(): void;
-  /** From now on new requests are refused as not run. */
+  /** Refuses new requests as not run from now on. */
   refuseNew(): void;
   readonly inFlight: number;
   stop(): void;
@@ -81,6 +81,7 @@
 
 const TICK_MS = 40;
 const SWEEP_TICKS = 250;
+
 export function createEntryNode(options: EntryNodeOptions): EntryNode {
   const { clock, random, log, metrics, peers, run, host, dataCentre } = options;
   const openRequests = new Set<CallerRequest>();
@@ -258,7 +259,7 @@
         const admitted = await admission.admit(request, answer);
         route = admitted.route.name;
         service = admitted.service;
-        // A repetition has a new id, and may come to any VM: what it carries is what counts.
+        // A retry has a new id and may arrive at any VM, so requests are identified by content.
         quarantine.check(contentOf(admitted));
         report(request, await dispatch(admitted), { route, service });
       } catch (error) {
--- a/packages/entry/src/readiness.ts
+++ b/packages/entry/src/readiness.ts
@@ -1,30 +1,33 @@
-/** Whether this VM may take requests, and what it says of that to others. */
+/** Decides whether this VM accepts requests, and the member state that it reports to others. */
 import type { MemberFact } from '@spoolplank/membership';
 
 export interface ReadinessOptions {
   readonly documents: {
     readonly current: unknown;
-    /** Age of the last confirmation that nothing newer is in force, in milliseconds. */
+    /** Age of the last confirmation that the document is the latest, in milliseconds. */
     confirmedAgeMs(): number;
   };
-  /** How long a key may still be served after it was taken away. */
+  /** Maximum time for which a revoked key may still be served. */
   readonly revocationMs: number;
-  /** Whether new connections of callers can be accepted; a VM that cannot is not ready. */
+  /** Whether the VM can accept new connections of callers; it is not ready while it cannot. */
   readonly canAccept?: () => boolean;
 }
 
 export interface Readiness {
-  /** Whether the last confirmation is recent enough to know of routes and keys taken away. */
+  /** Whether the last confirmation is recent enough to include revoked routes and keys. */
   isFresh(): boolean;
-  /** Whether there is a document, confirmed lately enough. */
+  /** Whether there is a document with a recent confirmation. */
   isReadyToRoute(): boolean;
-  /** Whether callers are to be sent here. */
+  /** Whether callers should be directed to this VM. */
   isReady(): boolean;
   memberState(): MemberFact['state'];
   beginLeaving(): void;
 }
 
-/** Share of the revocation bound at which a confirmation is too old; the rest is for the way. */
+/**
+ * Share of the revocation bound at which a confirmation is too old; the remainder covers its way
+ * over the network.
+ */
 const FRESH_SHARE = 0.85;
 
 export function createReadiness(options: ReadinessOptions): Readiness {
--- a/packages/entry/src/requestReport.ts
+++ b/packages/entry/src/requestReport.ts
@@ -1,4 +1,4 @@
-/** How each request ended: one line of the log, a counter and a histogram. */
+/** Reports the end of each request with a log line, a counter and a histogram. */
 import type { EventLog, Metrics } from '@spoolplank/node';
 import type { Clock, SpoolplankError } from '@spoolplank/shared';
 import type { CallerRequest } from './callerRequest';
@@ -8,29 +8,29 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: Metrics;
-  /** Version of the document in force here. */
+  /** Version of the document in force on this VM. */
   readonly documentVersion: () => number | null;
-  /** Age of the last confirmation that nothing newer is in force. */
+  /** Age of the last confirmation that the document is the latest. */
   readonly confirmedAgeMs: () => number;
   /** Age of the facts that requests are routed by. */
   readonly factsAgeMs: () => number;
 }
 
-/** Reports the end of a request, with what else is known of it. */
+/** Reports the end of a request, with additional fields for the log. */
 export type RequestReport = (
   request: CallerRequest,
   end: RequestEnd,
   fields: Readonly<Record<string, string>>,
 ) => void;
 
-/** Ages beyond this, or infinite ones, are logged as this. */
+/** Larger and infinite ages are logged as this value. */
 const MAX_AGE_MS = 60_000;
 
 function roundIfKnown(durationMs: number | undefined): number | undefined {
   return durationMs === undefined ? undefined : Math.round(durationMs);
 }
 
-/** What is logged of the decision where a stream ran. */
+/** Log fields of the decision where a stream ran. */
 function describeSlot(slot: SlotDecision | null | undefined) {
   if (!slot) return {};
   return {
@@ -41,7 +41,7 @@
   };
 }
 
-/** How a request ended that its caller was refused with an error. */
+/** Maps the error that a caller was refused with to the end of its request. */
 export function toRequestEnd({ outcome, httpStatus }: SpoolplankError): RequestEnd {
   return {
     outcome: outcome === 'not-run' ? 'refused' : 'failed',
@@ -54,14 +54,14 @@
 
 export function createRequestReport(options: RequestReportOptions): RequestReport {
   const { clock, log, metrics } = options;
-  const cap = (ageMs: number) => Math.round(Math.min(ageMs, MAX_AGE_MS));
+  const capAge = (ageMs: number) => Math.round(Math.min(ageMs, MAX_AGE_MS));
 
   return (request, end, fields) => {
     const durationMs = clock.nowMs() - request.arrivedAtMs;
     metrics.count('spoolplank_requests_total', { outcome: end.outcome, route: fields.route ?? '' });
     metrics.observe('spoolplank_request_duration_ms', durationMs, { outcome: end.outcome });
-    const isGood = end.outcome === 'served' || end.outcome === 'caller-left';
-    log[isGood ? 'info' : 'warn']('request-ended', {
+    const isExpected = end.outcome === 'served' || end.outcome === 'caller-left';
+    log[isExpected ? 'info' : 'warn']('request-ended', {
       requestId: request.id,
       ...fields,
       outcome: end.outcome,
@@ -75,8 +75,8 @@
       durationMs: Math.round(durationMs),
       remainingMs: request.deadlineMs,
       documentVersion: options.documentVersion(),
-      confirmedAgeMs: cap(options.confirmedAgeMs()),
-      factsAgeMs: cap(options.factsAgeMs()),
+      confirmedAgeMs: capAge(options.confirmedAgeMs()),
+      factsAgeMs: capAge(options.factsAgeMs()),
     });
   };
 }
