--- a/packages/entry/__tests__/routingView.spec.ts
+++ b/packages/entry/__tests__/routingView.spec.ts
@@ -52,7 +52,7 @@
     assert.deepEqual(namesOf(view), []);
   });
 
-  it('leaves a suspected one out until it announces itself again', () => {
+  it('excludes a suspected server until it announces itself again', () => {
     const { view, announce, table } = createTables();
     announce(createEngine('e1', 0, 8), 3);
     table.put(FACT_KEYS.suspicion('e1'), 3, { kind: 'suspicion', instanceId: 'e1' });
@@ -134,7 +134,7 @@
     assert.equal(chain.hasRoom, true);
   });
 
-  it('leaves each of two entries its own half, whatever the other one seems to have taken', () => {
+  it('guarantees each of two entries its own half, whatever load the other one seems to have', () => {
     const seemsFull = { entries: () => 2, unseenInFlight: () => 100 };
     const free = createChoice({ a1: 1, b1: 1 }, '', seemsFull);
     assert.equal(free.chains.choose('engines', MODEL, none)?.hasRoom, true);
@@ -194,8 +194,8 @@
       const splitter = createEventSplitter();
       const first = splitter.push(Buffer.from(events.slice(0, at)));
       assert.ok(first.length === 0 || first.toString().endsWith('\n\n'));
-      const whole = Buffer.concat([first, splitter.push(Buffer.from(events.slice(at)))]);
-      assert.equal(whole.toString(), events);
+      const complete = Buffer.concat([first, splitter.push(Buffer.from(events.slice(at)))]);
+      assert.equal(complete.toString(), events);
       assert.equal(splitter.lastEventId, '3');
       assert.equal(splitter.hasPartialEvent, false);
     }
--- a/packages/entry/__tests__/sourceChoice.spec.ts
+++ b/packages/entry/__tests__/sourceChoice.spec.ts
@@ -18,13 +18,13 @@
 
   it('abandons one that replies without a fresh confirmation, but limits the rate of switches', () => {
     const clock = createManualClock();
-    const choice = createSourceChoice({ clock, list: () => ['cut off', 'well', 'third'] });
+    const choice = createSourceChoice({ clock, list: () => ['partitioned', 'healthy', 'third'] });
     choice.recordAnswer(800);
-    assert.equal(choice.current(), 'cut off');
+    assert.equal(choice.current(), 'partitioned');
     choice.recordAnswer(1501);
-    assert.equal(choice.current(), 'well');
+    assert.equal(choice.current(), 'healthy');
     choice.recordAnswer(null);
-    assert.equal(choice.current(), 'well');
+    assert.equal(choice.current(), 'healthy');
     clock.advance(1001);
     choice.recordAnswer(null);
     assert.equal(choice.current(), 'third');
--- a/packages/entry/__tests__/streamRepair.spec.ts
+++ b/packages/entry/__tests__/streamRepair.spec.ts
@@ -142,7 +142,7 @@
     assert.ok(probes > 0 && probes < 30, `${probes} of 100`);
   });
 
-  it('is no reason to connect to engines while others go on over the same path', async () => {
+  it('causes no connections to engines while others go on over the same path', async () => {
     const { row, streams, clock, counts, pass } = createSetting();
     clock.advance(120);
     streams.add({ ...row, lastProgressAtMs: clock.nowMs() });
@@ -177,7 +177,7 @@
     assert.deepEqual(setting.repairs, []);
   });
 
-  it('asks the first engine whom it waits for only when all accept connections', async () => {
+  it('reads the report of the first engine only when all engines accept connections', async () => {
     const setting = createSetting({ stalledAt: 'a2:80' });
     await setting.pass(160);
     assert.equal(setting.counts().reports, 0);
--- a/packages/entry/src/callerRequest.ts
+++ b/packages/entry/src/callerRequest.ts
@@ -36,7 +36,7 @@
   /** Starts a streamed response. */
   begin(status: number, headers: RawHeaders): void;
   /** Writes a chunk; returns false when the caller reads too slowly and the buffer is full. */
-  write(piece: Buffer): boolean;
+  write(chunk: Buffer): boolean;
   /** Sets a listener that is called when more can be written. */
   onWritable(listener: () => void): void;
   end(): void;
--- a/packages/entry/src/dispatch/plainDispatch.ts
+++ b/packages/entry/src/dispatch/plainDispatch.ts
@@ -49,7 +49,7 @@
 const ATTEMPT_TIMEOUT_FACTOR = 2.5;
 /** Number of `not-run` rejections after which a request is refused. */
 const MAX_REJECTIONS = 3;
-/** Choices of a server that closes just before the send; each next choice uses the newer state. */
+/** Times that a chosen server may close just before the send; each next choice knows of it. */
 const MAX_HELD_BACK = 4;
 /** Largest response that is buffered. */
 const MAX_ANSWER_BYTES = 16_777_216;
@@ -76,9 +76,9 @@
 async function readBody(response: BackendResponse): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let bytes = 0;
-  response.body.on('data', (piece: Buffer) => {
-    bytes += piece.length;
-    chunks.push(piece);
+  response.body.on('data', (chunk: Buffer) => {
+    bytes += chunk.length;
+    chunks.push(chunk);
     if (bytes > MAX_ANSWER_BYTES) response.body.destroy(new Error('response body exceeds 16 MiB'));
   });
   await finished(response.body, { writable: false });
@@ -91,9 +91,9 @@
 }
 
 /**
- * Whether the server announced itself when to send again. Such an attempt is not counted as a
- * failure: repeated failures exclude a server for 5 s, which would keep it idle after a shorter
- * backoff.
+ * Whether the server itself determines when it may be sent something again. Such an attempt is not
+ * counted as a failure: repeated failures exclude a server for 5 s, which would keep it idle after
+ * a shorter backoff.
  */
 function hasAnnouncedBackoff(result: AttemptResult): boolean {
   return result.kind === 'held-back' || (result.kind === 'not-run' && result.backoffMs !== null);
--- a/packages/entry/src/dispatch/streamAttempt.ts
+++ b/packages/entry/src/dispatch/streamAttempt.ts
@@ -12,7 +12,7 @@
 
 /** Result of one attempt. */
 export type StreamResult =
-  | { readonly kind: 'whole'; readonly status: number }
+  | { readonly kind: 'completed'; readonly status: number }
   /** The request has not run. */
   | {
       readonly kind: 'not-run';
@@ -141,7 +141,7 @@
     const splitter = createEventSplitter();
     const { body } = response;
     return new Promise((resolve, reject) => {
-      function forward(piece: Buffer): void {
+      function forward(events: Buffer): void {
         if (!progress.hasBegun) {
           answer.begin(response.status, response.headers);
           Object.assign(progress, {
@@ -152,7 +152,7 @@
         }
         progress.lastEventId = splitter.lastEventId ?? progress.lastEventId;
         recordPause(progress);
-        if (answer.write(piece)) return;
+        if (answer.write(events)) return;
         row.isPaused = true;
         body.pause();
         answer.onWritable(() => {
@@ -213,7 +213,7 @@
       };
     }
     await relay(row, response, progress);
-    return { kind: 'whole', status };
+    return { kind: 'completed', status };
   }
 
   function classifyError(row: StreamRow, error: unknown): StreamResult {
--- a/packages/entry/src/dispatch/streamDispatch.ts
+++ b/packages/entry/src/dispatch/streamDispatch.ts
@@ -30,7 +30,7 @@
 
 /** Number of `not-run` rejections after which a stream is not sent again. */
 const MAX_REJECTIONS = 4;
-/** Choices of an engine that closes just before the send; each next choice uses the newer state. */
+/** Times that a chosen engine may close just before the send; each next choice knows of it. */
 const MAX_HELD_BACK = 4;
 /**
  * A refused connection is detected within milliseconds, so it is usually known whether the engine
@@ -45,8 +45,8 @@
 /** Callers abandon a stream after a pause of 2 s, of which detecting the fault takes 0.5 s. */
 const MAX_RESUME_DELAY_MS = 900;
 /**
- * Share of the retry budget that is reserved for streams that have started. A stream that has not
- * started can be refused and retried by its caller; one that has is lost.
+ * Share of the retry budget that is reserved for streams that have started. Other streams can be
+ * refused and retried by their callers, but a started stream would be lost to its caller.
  */
 const RESUME_RESERVE_SHARE = 0.4;
 
@@ -184,7 +184,7 @@
           heldBack += 1;
           attempts -= 1;
         }
-        if (result.kind === 'whole') {
+        if (result.kind === 'completed') {
           answer.end();
           return end(result.status > MAX_SUCCESS_STATUS ? 'failed-there' : 'served', result.status);
         }
--- a/packages/entry/src/readiness.ts
+++ b/packages/entry/src/readiness.ts
@@ -25,8 +25,8 @@
 }
 
 /**
- * Share of the revocation bound at which a confirmation is too old; the remainder covers its way
- * over the network.
+ * Share of the revocation bound at which a confirmation is too old; the remainder covers the time
+ * that it takes to arrive.
  */
 const FRESH_SHARE = 0.85;
 
