--- a/packages/routing/__tests__/backoffTable.spec.ts
+++ b/packages/routing/__tests__/backoffTable.spec.ts
@@ -3,14 +3,14 @@
 import { createManualClock } from '@spoolplank/shared';
 import { createBackoffTable, isBackoffWorthWaiting } from '..';
 
-function createSetting() {
+function createFixture() {
   const clock = createManualClock(1000);
   return { clock, backoffs: createBackoffTable({ clock }) };
 }
 
 describe('the backoff of a server', () => {
   it('lasts as long as it was asked for, from the word on', () => {
-    const { clock, backoffs } = createSetting();
+    const { clock, backoffs } = createFixture();
     assert.equal(backoffs.record('e1', 3000), true);
     assert.equal(backoffs.remainingMs('e1'), 3000);
     clock.advance(2999);
@@ -21,7 +21,7 @@
   });
 
   it('is replaced by a longer one, and not by a shorter one', () => {
-    const { clock, backoffs } = createSetting();
+    const { clock, backoffs } = createFixture();
     backoffs.record('e1', 1000);
     assert.equal(backoffs.record('e1', 3000), false, 'it was backing off already');
     assert.equal(backoffs.remainingMs('e1'), 3000);
@@ -32,7 +32,7 @@
   });
 
   it('is not shortened by a suspension of the VM, nor by a step of the time of day', () => {
-    const { clock, backoffs } = createSetting();
+    const { clock, backoffs } = createFixture();
     backoffs.record('e1', 3000);
     clock.suspend(10_000);
     clock.jumpWall(10_000);
@@ -40,7 +40,7 @@
   });
 
   it('is followed by requests one after the other for a second, and then by all', () => {
-    const { clock, backoffs } = createSetting();
+    const { clock, backoffs } = createFixture();
     backoffs.record('e1', 3000);
     clock.advance(3000);
     backoffs.recordSent('e1');
@@ -54,7 +54,7 @@
   });
 
   it('gives those who come back a turn each, and begins anew with the next backoff', () => {
-    const { clock, backoffs } = createSetting();
+    const { clock, backoffs } = createFixture();
     assert.equal(backoffs.retryAfterMs('drafts', 3000), 3000);
     assert.equal(backoffs.retryAfterMs('drafts', 3000), 3025);
     assert.equal(backoffs.retryAfterMs('looks', 500), 500, 'another service has its own turns');
@@ -65,7 +65,7 @@
   });
 
   it('is forgotten when it is over and its second of return too', () => {
-    const { clock, backoffs } = createSetting();
+    const { clock, backoffs } = createFixture();
     backoffs.record('e1', 3000);
     backoffs.sweep();
     assert.deepEqual(backoffs.list(), [{ name: 'e1', remainingMs: 3000 }]);
--- a/packages/routing/__tests__/crashJudgement.spec.ts
+++ b/packages/routing/__tests__/crashJudgement.spec.ts
@@ -93,13 +93,13 @@
     // before their first event. Such a request is run four times at most: each of two tries of
     // its caller is sent on once. 1,000 days with 300 such starts each.
     const random = createSeededRandom(11);
-    const chanceOfEnd = 150;
+    const oneInChance = 150;
     const maxRuns = 4;
     let refused = 0;
     for (let day = 0; day < 1000; day += 1) {
       const ends: ServerEnd[] = [];
       for (let request = 0; request < 300; request += 1) {
-        for (let run = 0; run < maxRuns && random.nextInt(chanceOfEnd) === 0; run += 1) {
+        for (let run = 0; run < maxRuns && random.nextInt(oneInChance) === 0; run += 1) {
           ends.push(createEnd(`r${request}`, `s${random.nextInt(1000)}`, random.nextInt(120)));
         }
       }
--- a/packages/routing/__tests__/queueOrder.spec.ts
+++ b/packages/routing/__tests__/queueOrder.spec.ts
@@ -45,13 +45,13 @@
 
   it('keeps callers in time while more of them come than there are slots', () => {
     // 90 requests a second for three seconds, 60 slots: replayed against the order of arrival.
-    const play = (order: (a: QueuedRequest, b: QueuedRequest, nowMs: number) => number) => {
+    const simulate = (order: (a: QueuedRequest, b: QueuedRequest, nowMs: number) => number) => {
       let queue: QueuedRequest[] = [];
       let inTime = 0;
       for (let ms = 0; ms < 6000; ms += 1) {
         if (ms < 3000 && Math.floor((ms * 90) / 1000) > Math.floor(((ms - 1) * 90) / 1000)) {
-          const at = { arrivedAtMs: ms, inTimeUntilMs: ms + 350, leavesAtMs: ms + 1200 };
-          queue.push(createQueued(at));
+          const times = { arrivedAtMs: ms, inTimeUntilMs: ms + 350, leavesAtMs: ms + 1200 };
+          queue.push(createQueued(times));
         }
         queue = queue.filter(({ leavesAtMs }) => leavesAtMs > ms);
         if (Math.floor((ms * 60) / 1000) > Math.floor(((ms - 1) * 60) / 1000)) {
@@ -62,8 +62,8 @@
       }
       return inTime;
     };
-    const byArrival = play((a, b) => a.arrivedAtMs - b.arrivedAtMs);
-    const byOrder = play(compareQueued);
+    const byArrival = simulate((a, b) => a.arrivedAtMs - b.arrivedAtMs);
+    const byOrder = simulate(compareQueued);
     assert.ok(byOrder > 1.8 * byArrival, `${byOrder} in time, ${byArrival} by arrival`);
   });
 });
--- a/packages/routing/__tests__/retryDelays.spec.ts
+++ b/packages/routing/__tests__/retryDelays.spec.ts
@@ -5,44 +5,44 @@
 
 const REMAINING_MS = 20_000;
 
-function createTimes() {
+function createDelays() {
   const clock = createManualClock();
-  return { clock, times: createRetryDelays({ clock, random: createSeededRandom(7) }) };
+  return { clock, delays: createRetryDelays({ clock, random: createSeededRandom(7) }) };
 }
 
 const drawMany = (draw: () => number) => Array.from({ length: 200 }, draw);
 
 describe('the time to come back', () => {
   it('grows with the time for which everything has been full', () => {
-    const { clock, times } = createTimes();
-    times.recordFull();
-    const early = Math.max(...drawMany(() => times.afterMs(REMAINING_MS)));
+    const { clock, delays } = createDelays();
+    delays.recordFull();
+    const early = Math.max(...drawMany(() => delays.afterMs(REMAINING_MS)));
     clock.advance(3500);
-    const late = Math.min(...drawMany(() => times.afterMs(REMAINING_MS)));
+    const late = Math.min(...drawMany(() => delays.afterMs(REMAINING_MS)));
     assert.ok(late > early, `${late} and ${early}`);
   });
 
   it('spreads those who are turned away together over at least its own mean', () => {
-    const { clock, times } = createTimes();
-    times.recordFull();
+    const { clock, delays } = createDelays();
+    delays.recordFull();
     clock.advance(2000);
-    const drawn = drawMany(() => times.afterMs(REMAINING_MS));
+    const drawn = drawMany(() => delays.afterMs(REMAINING_MS));
     assert.ok(Math.max(...drawn) - Math.min(...drawn) > 1900);
   });
 
   it('is short again after a second with room', () => {
-    const { clock, times } = createTimes();
-    times.recordFull();
+    const { clock, delays } = createDelays();
+    delays.recordFull();
     clock.advance(4000);
-    times.recordRoom();
+    delays.recordRoom();
     clock.advance(1001);
-    times.recordRoom();
-    times.recordFull();
-    assert.ok(Math.max(...drawMany(() => times.afterMs(REMAINING_MS))) <= 1500);
+    delays.recordRoom();
+    delays.recordFull();
+    assert.ok(Math.max(...drawMany(() => delays.afterMs(REMAINING_MS))) <= 1500);
   });
 
   it('never goes beyond a third of what the caller has left', () => {
-    const { times } = createTimes();
-    assert.ok(drawMany(() => times.afterMs(600)).every((ms) => ms <= 200));
+    const { delays } = createDelays();
+    assert.ok(drawMany(() => delays.afterMs(600)).every((ms) => ms <= 200));
   });
 });
--- a/packages/routing/__tests__/wholeChains.spec.ts
+++ b/packages/routing/__tests__/wholeChains.spec.ts
@@ -72,8 +72,8 @@
       const orders = planPlacement([...left, back], MODEL, { mayMove, mayImprove: () => false });
       orders.forEach(({ id }) => assert.ok(!holding.has(id), id));
       if (countChains(left) < countChains(engines)) {
-        const again = countChains(carryOut([...left, back], orders));
-        assert.equal(again, countChains(engines));
+        const restored = countChains(carryOut([...left, back], orders));
+        assert.equal(restored, countChains(engines));
       }
     });
 
@@ -85,11 +85,11 @@
         .forEach((lost) => {
           const left = engines.filter(({ id }) => id !== lost.id);
           const orders = planPlacement(left, MODEL);
-          const mended = carryOut(left, orders);
-          const least = TIGHT.includes(name) ? before - 1 : before;
-          assert.ok(countChains(mended) >= least, `${lost.id}: ${orders.length} orders`);
+          const repaired = carryOut(left, orders);
+          const minChains = TIGHT.includes(name) ? before - 1 : before;
+          assert.ok(countChains(repaired) >= minChains, `${lost.id}: ${orders.length} orders`);
           assert.ok(orders.length <= 12, `${lost.id}: ${orders.length} orders`);
-          assert.deepEqual(planPlacement(mended, MODEL), [], `after ${lost.id}`);
+          assert.deepEqual(planPlacement(repaired, MODEL), [], `after ${lost.id}`);
         });
     });
 
--- a/packages/routing/examples/chooseChain.ts
+++ b/packages/routing/examples/chooseChain.ts
@@ -1,4 +1,4 @@
-/** Chooses a chain of engines for a model, and checks the lineage of a token that came through. */
+/** Selects a chain of engines for a model and checks the lineage of a token. */
 import type { Announcement } from '@spoolplank/membership';
 import { createBackendLoadTable, findLineageProblem, selectChain } from '@spoolplank/routing';
 
--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -1,8 +1,8 @@
-/** Limits on running and waiting requests, counted per branch of the settings tree. */
+/** Enforces limits on running and queued requests for each branch of the settings tree. */
 import type { Policy } from '@spoolplank/settings';
 import { SpoolplankError } from '@spoolplank/shared';
 
-/** A branch that a request counts against, with the limits in force there. */
+/** A branch that a request counts towards, with its limits. */
 export interface AdmissionBranch {
   /** JSON pointer of the branch. */
   readonly pointer: string;
@@ -20,27 +20,29 @@
   readonly waiting: number;
 }
 
-/** The place of one admitted request. */
+/** Handle of an admitted request. */
 export interface AdmissionTicket {
-  /** The request leaves the queue and runs. */
+  /** Records that the request has left the queue and runs. */
   start(): void;
-  /** The request has ended, in whatever way. */
+  /** Records that the request has ended, with any outcome. */
   end(): void;
 }
 
 export interface Admission {
   /**
-   * Admits a request to wait or run.
+   * Admits a request to the queue or for running.
    *
-   * @throws SpoolplankError `overloaded`, at once, with the time after which to try again.
+   * @throws SpoolplankError `overloaded` with a retry-after time, if a limit is reached.
    */
   admit(branches: readonly AdmissionBranch[]): AdmissionTicket;
-  /** The first branch whose limit is reached; undefined when a request would be admitted. */
+  /**
+   * Returns the first branch whose limit is reached; undefined when a request would be admitted.
+   */
   findFull(branches: readonly AdmissionBranch[]): AdmissionBranch | undefined;
-  /** Whether every branch has room for one more running request. */
+  /** Whether every branch has capacity for another running request. */
   hasRoom(branches: readonly AdmissionBranch[]): boolean;
   counts(): readonly AdmissionCounts[];
-  /** Records how long a request ran, from which the drain rate of the queue follows. */
+  /** Records the duration of a request, from which the drain rate of the queue is estimated. */
   observeDuration(durationMs: number): void;
 }
 
@@ -61,7 +63,7 @@
     return count;
   }
 
-  /** When the queue in front of a branch will have drained, from how fast it does. */
+  /** Estimated time until the queue of a branch has drained. */
   function retryAfterMs({ pointer, policy }: AdmissionBranch): number {
     const { waiting } = countOf(pointer);
     const drainMs = ((waiting + 1) * meanDurationMs) / Math.max(1, policy.maxInFlight);
--- a/packages/routing/src/backendFit.ts
+++ b/packages/routing/src/backendFit.ts
@@ -1,7 +1,7 @@
-/** Whether what a backend server says of itself can be true by the document in force. */
+/** Checks the announcement of a backend server against the routing document in force. */
 import type { RoutingDocument } from './routingDocument';
 
-/** What a backend server says that the document can be held against. */
+/** The announced properties that are checked against the document. */
 export interface StatedBackend {
   readonly service: string;
   readonly engine?: {
@@ -10,7 +10,7 @@
   };
 }
 
-/** Why a backend server cannot be what it says; null when nothing speaks against it. */
+/** Returns why an announcement contradicts the document; null when it is consistent. */
 export function findMisfit(stated: StatedBackend, document: RoutingDocument): string | null {
   const service = document.services.find(({ name }) => name === stated.service);
   if (!service) return 'its service is not in the document';
--- a/packages/routing/src/backendLoad.ts
+++ b/packages/routing/src/backendLoad.ts
@@ -1,47 +1,47 @@
 /**
- * What an entry VM knows of the load of backend servers. Reports lag, so each is corrected by
- * what this entry itself sent or finished after the report arrived.
+ * Load of backend servers as estimated by an entry VM. Reports lag behind, so each is corrected by
+ * the requests that this VM started or finished after the report arrived.
  */
 import type { Announcement } from '@spoolplank/membership';
 
 interface LoadRow {
-  /** Which report was taken in last. */
+  /** Together with `sequence`, identifies the last report that was applied. */
   incarnation: number;
   sequence: number;
   reported: number;
-  /** Requests of this entry that run there now. */
+  /** Requests of this VM that run on the backend server. */
   own: number;
   /** `own` at the time of the last report. */
   ownAtReport: number;
-  /** Moving average of the time to an answer, in milliseconds. */
+  /** Moving average of the response time, in milliseconds. */
   latencyMs: number;
   failures: number;
   ejectedUntilMs: number;
 }
 
 export interface BackendLoadOptions {
-  /** Failures in a row after which a backend server is left out for a while. */
+  /** Number of consecutive failures after which a backend server is ejected. */
   readonly ejectAfterFailures?: number;
   readonly ejectDurationMs?: number;
-  /** Greatest share of candidates that may be left out at once. */
+  /** Maximum share of candidates that may be ejected at the same time. */
   readonly maxEjectedShare?: number;
 }
 
 export interface BackendLoadTable {
-  /** Takes in a report, unless it is the one that was taken in last. */
+  /** Applies a report, unless it is the one that was applied last. */
   report(announcement: Pick<Announcement, 'name' | 'incarnation' | 'sequence' | 'load'>): void;
   start(name: string): void;
   finish(
     name: string,
     result: { readonly isFailure: boolean; readonly durationMs: number; readonly nowMs: number },
   ): void;
-  /** Records the end of one that says nothing of how the server does: it was not taken. */
+  /** Records the end of a request that the server did not accept; it is no sign of its health. */
   cancel(name: string): void;
-  /** Estimated number of requests there, running or waiting. */
+  /** Estimated number of running and queued requests. */
   estimate(name: string): number;
   own(name: string): number;
   latencyMs(name: string): number;
-  /** Candidates without those that keep failing, unless that would leave too few. */
+  /** Candidates that are not ejected, or all of them if more than `maxEjectedShare` are. */
   withoutEjected<T extends { readonly name: string }>(
     candidates: readonly T[],
     nowMs: number,
@@ -77,7 +77,7 @@
     report({ name, incarnation, sequence, load }) {
       const row = rowOf(name);
       if (row.incarnation === incarnation && row.sequence === sequence) return;
-      // What failed before a restart says nothing about the new process.
+      // Failures before a restart are not evidence against the new process.
       if (row.incarnation !== incarnation) Object.assign(row, { failures: 0, ejectedUntilMs: 0 });
       Object.assign(row, { incarnation, sequence });
       row.reported = load.running + load.queued;
--- a/packages/routing/src/backoffTable.ts
+++ b/packages/routing/src/backoffTable.ts
@@ -1,19 +1,19 @@
 /**
- * Which backend servers want nothing from this VM for a while, because they said so.
+ * Tracks backend servers that asked this VM to back off.
  *
- * The load pattern it answers: a server is full, or sheds the share of one VM, and asks it for some
- * seconds of backoff. Everything that is sent to it meanwhile is turned away, and costs the server
- * what it wanted to be spared. At the end of a backoff all who waited for it would come at once;
- * they come one after the other instead, so that a server which still sheds is asked by one only.
+ * A server that is full, or that sheds the load of one VM, asks for some seconds of backoff. It
+ * refuses requests that are sent meanwhile, and refusing them costs the capacity that it wanted to
+ * save. At the end of a backoff all waiting requests would arrive at once; they are sent one by one
+ * instead, so that a server that still sheds load receives only one of them.
  */
 import type { Clock } from '@spoolplank/shared';
 
 export interface BackoffTableOptions {
-  /** A backoff is waited out, so it is counted by the time that never runs ahead. */
+  /** The steady clock, so that a suspension of the VM does not shorten a backoff. */
   readonly clock: Pick<Clock, 'steadyMs'>;
 }
 
-/** A server that is held back now. */
+/** A server that may not be sent requests at present. */
 export interface HeldBackServer {
   readonly name: string;
   readonly remainingMs: number;
@@ -21,46 +21,44 @@
 
 export interface BackoffTable {
   /**
-   * Takes in that a server wants nothing for so long, in milliseconds; a shorter backoff than the
-   * one it has changes nothing. Returns whether it was not backing off yet.
+   * Records a backoff of a server, in milliseconds. It has no effect when the current backoff ends
+   * later. Returns whether the server was not backing off before.
    */
   record(name: string, backoffMs: number): boolean;
-  /** Time until something may be sent to a server, in milliseconds; 0 when it may be now. */
+  /** Time until a request may be sent to a server, in milliseconds; 0 when it may be now. */
   remainingMs(name: string): number;
   isHeldBack(name: string): boolean;
-  /** Whether the backoff that a server asked for is not over. */
+  /** Whether the backoff that a server asked for is still in force. */
   isBackingOff(name: string): boolean;
-  /**
-   * Records that something is sent to a server: what comes next after a backoff waits for its turn.
-   */
+  /** Records that a request is sent to a server; shortly after a backoff, this delays the next. */
   recordSent(name: string): void;
   /**
-   * When one more request for a group of servers is to come back, in milliseconds from now, where
-   * the first of them backs off for so long: one after the other, in the order in which they ask.
+   * Returns the retry-after time, in milliseconds, of a request for a group of servers, of which
+   * the first ends its backoff after `backoffMs`. Consecutive requests get increasing times.
    */
   retryAfterMs(group: string, backoffMs: number): number;
   list(): readonly HeldBackServer[];
-  /** Whether any server backed off within the last seconds; mostly none did. */
+  /** Whether the table has no entries, which is the usual case. */
   readonly isEmpty: boolean;
-  /** Forgets servers that are back. */
+  /** Removes servers whose backoff and recovery period are over. */
   sweep(): void;
 }
 
 interface BackoffRow {
-  /** On the steady clock. */
+  /** Time on the steady clock. */
   readonly endsAtMs: number;
   nextSendAtMs: number;
 }
 
 interface RetryRow {
   readonly endsAtMs: number;
-  readonly given: number;
+  readonly assignedCount: number;
 }
 
-/** After a backoff, requests go to the server one after the other for so long. */
-const RETURN_MS = 1000;
-/** A server turns a request away within 2 to 5 ms: the next one is sent when that was heard. */
-const RETURN_SPACING_MS = 25;
+/** Period after a backoff in which requests are sent to the server one by one. */
+const RECOVERY_MS = 1000;
+/** A server refuses a request within 2 to 5 ms, so the refusal arrives before the next send. */
+const RECOVERY_SPACING_MS = 25;
 
 export function createBackoffTable({ clock }: BackoffTableOptions): BackoffTable {
   const rows = new Map<string, BackoffRow>();
@@ -87,14 +85,14 @@
     recordSent(name) {
       const row = rows.get(name);
       const nowMs = clock.steadyMs();
-      if (row && nowMs < row.endsAtMs + RETURN_MS) row.nextSendAtMs = nowMs + RETURN_SPACING_MS;
+      if (row && nowMs < row.endsAtMs + RECOVERY_MS) row.nextSendAtMs = nowMs + RECOVERY_SPACING_MS;
     },
     retryAfterMs(group, backoffMs) {
       const nowMs = clock.steadyMs();
       const known = retries.get(group);
-      const given = known && nowMs < known.endsAtMs ? known.given : 0;
-      retries.set(group, { endsAtMs: nowMs + backoffMs, given: given + 1 });
-      return Math.ceil(backoffMs + given * RETURN_SPACING_MS);
+      const assignedCount = known && nowMs < known.endsAtMs ? known.assignedCount : 0;
+      retries.set(group, { endsAtMs: nowMs + backoffMs, assignedCount: assignedCount + 1 });
+      return Math.ceil(backoffMs + assignedCount * RECOVERY_SPACING_MS);
     },
     list: () =>
       [...rows.keys()]
@@ -106,7 +104,7 @@
     sweep() {
       const nowMs = clock.steadyMs();
       rows.forEach(({ endsAtMs }, name) => {
-        if (nowMs > endsAtMs + RETURN_MS) rows.delete(name);
+        if (nowMs > endsAtMs + RECOVERY_MS) rows.delete(name);
       });
       retries.forEach(({ endsAtMs }, group) => {
         if (nowMs > endsAtMs) retries.delete(group);
--- a/packages/routing/src/backoffWait.ts
+++ b/packages/routing/src/backoffWait.ts
@@ -1,25 +1,26 @@
 /**
- * Whether a request waits for the end of a backoff, or its caller is refused with a retry-after.
+ * Decides whether a request waits for the end of a backoff or is refused with a retry-after.
  *
- * All servers that could run it back off, and the first of them for a known time. A short backoff
- * is waited for: the caller keeps its turn, and makes no second connection. What cannot be served
- * in time that way is refused at once, with the time at which it can be.
+ * It applies when all servers that could run the request back off, the first of them for a known
+ * time. For a short backoff the request waits, which keeps its turn and saves a second connection.
+ * A request that cannot be served in time that way is refused at once, with the time at which it
+ * can be served.
  */
 
 export interface BackoffWait {
-  /** When it is this request's turn, in milliseconds from now. */
+  /** Time until the turn of this request, in milliseconds. */
   readonly turnInMs: number;
-  /** What is left of its time. */
+  /** Time until the deadline of the request, in milliseconds. */
   readonly remainingMs: number;
-  /** Time since it arrived. */
+  /** Time since the request arrived, in milliseconds. */
   readonly waitedMs: number;
 }
 
-/** Of the two seconds for which callers wait for a first event. */
+/** Callers wait two seconds for a first event; the rest remains for running the request. */
 const MAX_WAIT_MS = 1200;
-/** The other half is for the run itself, and for another server when this one fails. */
-const MAX_SHARE = 0.5;
+/** The other half remains for the run itself, and for another attempt if it fails. */
+const MAX_REMAINING_SHARE = 0.5;
 
 export function isBackoffWorthWaiting({ turnInMs, remainingMs, waitedMs }: BackoffWait): boolean {
-  return waitedMs + turnInMs <= MAX_WAIT_MS && turnInMs <= remainingMs * MAX_SHARE;
+  return waitedMs + turnInMs <= MAX_WAIT_MS && turnInMs <= remainingMs * MAX_REMAINING_SHARE;
 }
--- a/packages/routing/src/chain.ts
+++ b/packages/routing/src/chain.ts
@@ -1,4 +1,4 @@
-/** Choice of a chain of engines that holds every layer of a model once, in order. */
+/** Selects a chain of engines that holds every layer of a model once, in order. */
 import type { Announcement, EngineDescription } from '@spoolplank/membership';
 import type { BackendLoadTable } from './backendLoad';
 
@@ -20,7 +20,7 @@
 export interface ChainRequest {
   readonly model: string;
   readonly layers: number;
-  /** Only engines of this version; any one version when absent. */
+  /** Restricts the chain to this version; otherwise any single version is used. */
   readonly version?: string;
   readonly excluded: ReadonlySet<string>;
   readonly dataCentre: string;
@@ -35,13 +35,13 @@
   readonly next: PartialChain | null;
 }
 
-/** Size of the activation that one token carries from stage to stage. */
+/** Size of the activations of one token that are sent from stage to stage. */
 const ACTIVATION_BYTES = 16_384;
 const MS_PER_S = 1000;
 const REMOTE_PENALTY_MS = 2;
-/** A chain whose batch is full makes others wait; past this share its cost rises steeply. */
+/** Above this share of a full batch, sessions queue and the cost is multiplied by the penalty. */
 const FULL_SHARE = 0.9;
-/** Steps that a session spends at a stage: its own, and most of one that it just missed. */
+/** Steps that a session spends at a stage: its own, and most of the one in progress on arrival. */
 const STEPS_PER_STAGE = 1.75;
 const FULL_PENALTY = 4;
 
@@ -50,17 +50,17 @@
 }
 
 /**
- * Time that one step of an engine costs a session. A session is at one stage at a time, and
- * reaches the next one while a step is under way there, so a chain of n stages takes about
- * `n * STEPS_PER_STAGE` batches before it is full; only what goes beyond waits longer.
+ * Estimated time that a session spends on one step of an engine. A session is at one stage at a
+ * time and usually arrives while a step is in progress, so a chain of n stages holds about
+ * `n * STEPS_PER_STAGE` batches before it is full. Only sessions beyond that wait longer.
  */
 function stepCostMs({ name, engine }: Engine, layers: number, loads: BackendLoadTable): number {
   const stages = layers / (engine.lastLayer - engine.firstLayer + 1);
   const batches = (loads.estimate(name) + 1) / (stages * STEPS_PER_STAGE) / engine.maxBatch;
   const items = Math.min(1, batches) * engine.maxBatch;
   const stepMs = engine.stepBaseMs + engine.stepPerItemMs * items;
-  const crowding = batches > FULL_SHARE ? FULL_PENALTY : 1;
-  return stepMs * Math.max(1, batches) * crowding;
+  const fullFactor = batches > FULL_SHARE ? FULL_PENALTY : 1;
+  return stepMs * Math.max(1, batches) * fullFactor;
 }
 
 function linkCostMs(from: Engine, to: Engine): number {
@@ -69,7 +69,7 @@
   return from.dataCentre === to.dataCentre ? 0 : REMOTE_PENALTY_MS;
 }
 
-/** Cheapest completion for each starting layer, built from the last layer backwards. */
+/** Finds the cheapest chain of one version by dynamic programming from the last layer backwards. */
 function chainOfVersion(
   engines: readonly Engine[],
   request: ChainRequest,
@@ -81,8 +81,8 @@
     const { firstLayer, lastLayer } = engine.engine;
     const ownMs = stepCostMs(engine, request.layers, loads);
     const isLast = lastLayer === request.layers - 1;
-    const followers = byFirstLayer.get(lastLayer + 1) ?? [];
-    const options = followers.map((next) => ({
+    const successors = byFirstLayer.get(lastLayer + 1) ?? [];
+    const options = successors.map((next) => ({
       engine,
       next,
       costMs: ownMs + linkCostMs(engine, next.engine) + next.costMs,
@@ -113,16 +113,18 @@
   return { version, stages, estimatedStepMs: head.costMs };
 }
 
-/** Picks the chain with the least estimated time for a token; undefined when layers are missing. */
+/**
+ * Selects the chain with the lowest estimated time per token; undefined when layers are missing.
+ */
 export function selectChain(
   announced: readonly Announcement[],
   request: ChainRequest,
   loads: BackendLoadTable,
 ): Chain | undefined {
-  const fitting = announced
+  const matching = announced
     .filter(isEngine)
     .filter(({ name, engine }) => engine.model === request.model && !request.excluded.has(name));
-  const engines = loads.withoutEjected(fitting, request.nowMs);
+  const engines = loads.withoutEjected(matching, request.nowMs);
   const versions =
     request.version === undefined
       ? [...new Set(engines.map(({ engine }) => engine.version))]
--- a/packages/routing/src/chainCapacity.ts
+++ b/packages/routing/src/chainCapacity.ts
@@ -1,21 +1,21 @@
-/** How many requests of usual size each chain of a data centre holds at once. */
+/** Computes how many concurrent requests of usual size each chain of a data centre can hold. */
 import { requestMemoryMb } from './chainCount';
 import type { ModelDescription } from './routingDocument';
 import type { StageChain } from './stageChains';
 import type { PathStage } from './stagePath';
 
-/** An engine as far as its room goes. */
+/** The properties of an engine that determine its capacity. */
 export interface CapacityEngine {
   readonly id: string;
   readonly acceleratorKind: string;
   readonly heldLayers: number;
-  /** Requests that it takes as the first engine of a chain. */
+  /** Maximum number of concurrent requests as the first engine of a chain. */
   readonly slots: number;
 }
 
-interface Room {
+interface FreeCapacity {
   memoryMb: number;
-  places: number;
+  freeSlots: number;
 }
 
 function freeMemoryMb(engine: CapacityEngine, model: ModelDescription): number {
@@ -28,31 +28,31 @@
 }
 
 /**
- * Capacities in the order of the chains. Chains are distinguished by their order: one that borrows
- * an engine of an earlier one gets what that leaves over there, so that the sum over all chains
- * is never more than the engines hold.
+ * Returns the capacity of each chain, in the order of the chains. A chain that shares an engine
+ * with an earlier one gets only the capacity that the earlier one leaves there, so that the sum
+ * over all chains never exceeds what the engines can hold.
  */
 export function rateCapacities(
   chains: readonly StageChain[],
   engines: readonly CapacityEngine[],
   model: ModelDescription,
 ): readonly number[] {
-  const rooms = new Map<string, Room>(
+  const freeByEngine = new Map<string, FreeCapacity>(
     engines.map((engine) => [
       engine.id,
-      { memoryMb: freeMemoryMb(engine, model), places: engine.slots },
+      { memoryMb: freeMemoryMb(engine, model), freeSlots: engine.slots },
     ]),
   );
-  const memoryOf = (id: string) => rooms.get(id)?.memoryMb ?? 0;
+  const freeMemoryOf = (id: string) => freeByEngine.get(id)?.memoryMb ?? 0;
 
   return chains.map(({ stages }) => {
-    const head = rooms.get(stages[0]?.id ?? '');
-    const byMemory = stages.map((stage) => memoryOf(stage.id) / stageMemoryMb(stage, model));
-    const capacity = Math.max(0, Math.min(head?.places ?? 0, ...byMemory));
-    if (head) head.places -= capacity;
+    const head = freeByEngine.get(stages[0]?.id ?? '');
+    const byMemory = stages.map((stage) => freeMemoryOf(stage.id) / stageMemoryMb(stage, model));
+    const capacity = Math.max(0, Math.min(head?.freeSlots ?? 0, ...byMemory));
+    if (head) head.freeSlots -= capacity;
     stages.forEach((stage) => {
-      const room = rooms.get(stage.id);
-      if (room) room.memoryMb -= capacity * stageMemoryMb(stage, model);
+      const free = freeByEngine.get(stage.id);
+      if (free) free.memoryMb -= capacity * stageMemoryMb(stage, model);
     });
     return capacity;
   });
--- a/packages/routing/src/chainCount.ts
+++ b/packages/routing/src/chainCount.ts
@@ -1,4 +1,4 @@
-/** How many chains a data centre is to have, and which engines go into which. */
+/** Chooses the number of chains of a data centre and assigns its engines to them. */
 import { usualHeldTokens } from './requestSize';
 import type { ModelDescription } from './routingDocument';
 
@@ -7,17 +7,17 @@
   readonly id: string;
   readonly memoryMb: number;
   readonly stepFactor: number;
-  /** Requests that it takes as the first engine of a chain. */
+  /** Maximum number of concurrent requests as the first engine of a chain. */
   readonly slots: number;
 }
 
-/** Bounds the search. */
+/** Upper bound of the search. */
 const MAX_CHAINS = 16;
-/** A chain loses so much of its memory to engines that whole layers do not fill. */
+/** The rest is lost, as whole layers do not fill the memory of an engine exactly. */
 const USABLE_MEMORY_SHARE = 0.92;
 const BYTES_PER_MB = 1_000_000;
 
-/** Memory of a running request of usual size, over all layers, in MB. */
+/** Memory of a running request of usual size over all layers, in MB. */
 export function requestMemoryMb(model: ModelDescription): number {
   return (usualHeldTokens(model) * model.tokenBytes) / BYTES_PER_MB;
 }
@@ -27,19 +27,19 @@
 }
 
 /**
- * The number of chains with which the engines of a data centre hold most requests. The memory
- * beside the weights bounds a few chains less than the places of their first engines do; every
- * further chain takes the memory of its weights away.
+ * Returns the number of chains with which the engines of a data centre hold most requests. Few
+ * chains are limited by the slots of their first engines, many chains by the memory that remains
+ * beside the weights, as every additional chain needs memory for another copy of the weights.
  */
 export function planChainCount(members: readonly ChainMember[], model: ModelDescription): number {
   const memoryMb = members.reduce((sum, member) => sum + member.memoryMb, 0) * USABLE_MEMORY_SHARE;
   const weightsMb = model.layers * model.layerMb;
-  const places = mean(members.map(({ slots }) => slots));
+  const slotsPerHead = mean(members.map(({ slots }) => slots));
   let best = 1;
   let bestRequests = 0;
   for (let chains = 1; chains <= MAX_CHAINS; chains += 1) {
     const byMemory = (memoryMb - chains * weightsMb) / requestMemoryMb(model);
-    const requests = Math.min(byMemory, chains * places);
+    const requests = Math.min(byMemory, chains * slotsPerHead);
     if (requests > bestRequests) {
       best = chains;
       bestRequests = requests;
@@ -52,9 +52,9 @@
   members.reduce((sum, { memoryMb }) => sum + memoryMb, 0);
 
 /**
- * Splits engines into chains of like memory and like speed: the engines are dealt out, the
- * largest first, each to the chain that has least memory yet; inside a chain the fastest one
- * stands first. Kinds with much memory are the fast ones, so that speed is dealt out with it.
+ * Splits engines into chains of similar memory and speed. Engines are assigned in descending order
+ * of memory, each to the chain with the least memory so far; each chain is then sorted by speed,
+ * the fastest engine first. Kinds with more memory are faster, so balancing memory balances speed.
  *
  * Source: Graham, "Bounds on multiprocessing timing anomalies", 1969 (list scheduling).
  */
@@ -65,10 +65,10 @@
   const groups: Member[][] = Array.from({ length: chains }, () => []);
   const largestFirst = [...members].sort((a, b) => b.memoryMb - a.memoryMb);
   largestFirst.forEach((member) => {
-    const least = groups.reduce((best, group) =>
+    const smallest = groups.reduce((best, group) =>
       sumMemory(group) < sumMemory(best) ? group : best,
     );
-    least.push(member);
+    smallest.push(member);
   });
   return groups.map((group) => group.sort((a, b) => a.stepFactor - b.stepFactor));
 }
--- a/packages/routing/src/crashJudgement.ts
+++ b/packages/routing/src/crashJudgement.ts
@@ -1,47 +1,48 @@
 /**
- * Which request contents end the backend servers that run them.
+ * Determines which request contents crash the backend servers that run them.
  *
- * The load pattern it answers: a caller repeats a request that ends every server which begins to
- * run it, and each end takes dozens of other requests with it. All of those were there when a
- * server ended, a few in the same state; what ends servers is what most of the ends have in common.
- * Days on which engines are lost for other reasons leave one end or two with a content, by chance.
+ * A caller may repeat a request that crashes every server which starts to run it, and each crash
+ * takes dozens of other requests with it. All of these were on a server when it crashed, a few of
+ * them in the same state; the cause is the content that most of the crashes have in common. When
+ * engines are lost for other reasons, a content coincides with one or two crashes by chance.
  */
 
 /**
- * One incarnation of a backend server that ended, and one content that it had just begun to run.
+ * A crash of one incarnation of a backend server, and one content that it ran or was being sent.
  */
 export interface ServerEnd {
   readonly content: string;
-  /** Identity of the server's run. */
+  /** Identifies the incarnation of the server. */
   readonly instanceId: string;
-  /** How long the content had run there. */
+  /** How long the content had run on the server. */
   readonly ranMs: number;
-  /** Whether the server had begun to run it, or an attempt was under way and no more is known. */
+  /** `run` if the server had started the content, `attempt` if only an attempt is known. */
   readonly evidence: 'run' | 'attempt';
 }
 
 /**
- * Ends that quarantine a content. Two happen by chance: a request that lost one engine is sent to
- * another at once, which may be lost too. Each further end costs a chain its first engine.
+ * Number of crashes after which a content is quarantined. Two occur by chance: a request that lost
+ * one engine is immediately sent to another one, which may be lost too. Every additional crash
+ * costs a chain its first engine.
  */
 export const QUARANTINE_ENDS = 3;
 /**
- * How many of them must be of servers that had begun to run the content: several attempts are under
- * way at each end by chance, so attempts alone prove nothing.
+ * How many of these servers must have started to run the content. Several attempts are in progress
+ * at every crash by chance, so attempts alone are not sufficient evidence.
  */
 const MIN_BEGUN_ENDS = 2;
 
 interface Suspect {
   readonly content: string;
   readonly instanceIds: ReadonlySet<string>;
-  /** Those of them that had begun to run it. */
+  /** The subset of `instanceIds` that had started to run the content. */
   readonly begunIds: ReadonlySet<string>;
-  /** How long it had run at those. */
+  /** Mean time that the content had run on the servers in `begunIds`. */
   readonly meanRanMs: number;
 }
 
-/** Ends of a suspect that no guilty content explains. */
-interface OpenCount {
+/** Number of crashes of a suspect that no quarantined content explains. */
+interface UnexplainedCounts {
   readonly suspect: Suspect;
   readonly allEnds: number;
   readonly begunEnds: number;
@@ -54,19 +55,19 @@
     if (known) known.push(end);
     else byContent.set(end.content, [end]);
   });
-  return [...byContent].map(([content, own]) => {
-    const begun = own.filter(({ evidence }) => evidence === 'run');
+  return [...byContent].map(([content, contentEnds]) => {
+    const begun = contentEnds.filter(({ evidence }) => evidence === 'run');
     return {
       content,
-      instanceIds: new Set(own.map(({ instanceId }) => instanceId)),
+      instanceIds: new Set(contentEnds.map(({ instanceId }) => instanceId)),
       begunIds: new Set(begun.map(({ instanceId }) => instanceId)),
       meanRanMs: begun.reduce((sum, { ranMs }) => sum + ranMs, 0) / Math.max(1, begun.length),
     };
   });
 }
 
-/** Whether `a` is the likelier cause: more ends, or else it ended its servers sooner. */
-function isLikelier(a: OpenCount, b: OpenCount): boolean {
+/** Whether `a` is the likelier cause: it has more crashes or, if equal, ran for less time. */
+function isLikelier(a: UnexplainedCounts, b: UnexplainedCounts): boolean {
   if (a.begunEnds !== b.begunEnds) return a.begunEnds > b.begunEnds;
   if (a.allEnds !== b.allEnds) return a.allEnds > b.allEnds;
   const [suspectA, suspectB] = [a.suspect, b.suspect];
@@ -75,10 +76,11 @@
 }
 
 /**
- * The contents that are run no more. The one with most ends goes first, and what it explains is
- * held against no other one: a request that was beside it by bad luck is cleared. The verdict is a
- * function of the set of ends alone, so VMs that know the same ends agree, in whatever order they
- * received them, and a verdict that was wrong for want of an end is corrected by it.
+ * Returns the contents to quarantine. The content with most crashes is selected first, and the
+ * crashes that it explains no longer count against other contents, which clears requests that
+ * merely ran on the same servers. The result depends only on the set of crashes: VMs that know the
+ * same crashes agree regardless of the order of arrival, and a result that was wrong because a
+ * crash was not known yet is corrected when it becomes known.
  *
  * Source: the greedy algorithm for set cover, Chvatal, "A greedy heuristic for the set-covering
  * problem", Mathematics of Operations Research, 1979.
@@ -86,25 +88,25 @@
 export function judgeCrashes(ends: readonly ServerEnd[]): ReadonlySet<string> {
   const suspects = listSuspects(ends);
   const explained = new Set<string>();
-  const guilty = new Set<string>();
-  const countOpen = (ids: ReadonlySet<string>) =>
+  const quarantined = new Set<string>();
+  const countUnexplained = (ids: ReadonlySet<string>) =>
     [...ids].filter((id) => !explained.has(id)).length;
 
   for (;;) {
-    const worst = suspects
-      .filter(({ content }) => !guilty.has(content))
-      .map((suspect): OpenCount => ({
+    const likeliest = suspects
+      .filter(({ content }) => !quarantined.has(content))
+      .map((suspect): UnexplainedCounts => ({
         suspect,
-        allEnds: countOpen(suspect.instanceIds),
-        begunEnds: countOpen(suspect.begunIds),
+        allEnds: countUnexplained(suspect.instanceIds),
+        begunEnds: countUnexplained(suspect.begunIds),
       }))
       .filter(({ allEnds, begunEnds }) => allEnds >= QUARANTINE_ENDS && begunEnds >= MIN_BEGUN_ENDS)
-      .reduce<OpenCount | undefined>(
+      .reduce<UnexplainedCounts | undefined>(
         (best, next) => (best && !isLikelier(next, best) ? best : next),
         undefined,
       );
-    if (!worst) return guilty;
-    guilty.add(worst.suspect.content);
-    worst.suspect.instanceIds.forEach((id) => explained.add(id));
+    if (!likeliest) return quarantined;
+    quarantined.add(likeliest.suspect.content);
+    likeliest.suspect.instanceIds.forEach((id) => explained.add(id));
   }
 }
--- a/packages/routing/src/fairQueue.ts
+++ b/packages/routing/src/fairQueue.ts
@@ -1,6 +1,6 @@
 /**
- * A queue for `p-queue` that shares capacity between organisations by weight, and lets higher
- * priorities of one organisation go first.
+ * A queue for `p-queue` that shares capacity between organisations by weight and serves the
+ * requests of one organisation by priority.
  *
  * Source: start-time fair queueing; Goyal, Vin and Cheng, 1996.
  */
@@ -22,7 +22,7 @@
 
 interface Lane {
   weight: number;
-  /** Virtual time at which the lane's next item starts. */
+  /** Virtual start time of the next item of the lane. */
   startTag: number;
   readonly items: Item[];
 }
@@ -30,19 +30,19 @@
 const DEFAULT_WEIGHT = 1;
 
 function insertByPriority(items: Item[], item: Item): void {
-  // Nearly always the last place: a plain backwards scan is the fast path.
+  // The position is nearly always the last one, so a linear scan from the end is fast.
   let at = items.length;
   while (at > 0 && (items[at - 1]?.priority ?? 0) < item.priority) at -= 1;
   items.splice(at, 0, item);
 }
 
-/** Whether an organisation may start one more request now. */
-export type HasRoom = (organisation: string) => boolean;
+/** Whether an organisation may start another request now. */
+export type HasCapacity = (organisation: string) => boolean;
 
 export class FairQueue implements Queue<RunFunction, FairQueueOptions> {
   readonly #lanes = new Map<string, Lane>();
 
-  readonly #hasRoom: HasRoom;
+  readonly #hasRoom: HasCapacity;
 
   #virtualTime = 0;
 
@@ -50,19 +50,19 @@
 
   #order = 0;
 
-  constructor(hasRoom: HasRoom = () => true) {
+  constructor(hasRoom: HasCapacity = () => true) {
     this.#hasRoom = hasRoom;
   }
 
   /**
-   * Items that wait; 0 while none of them may start, as `p-queue` takes an item whenever the
-   * size is above 0.
+   * Number of queued items; 0 while none of them may start, as `p-queue` dequeues an item whenever
+   * the size is above 0.
    */
   get size(): number {
     return this.#size > 0 && this.#nextLane() ? this.#size : 0;
   }
 
-  /** Items that wait, also those that may not start yet. */
+  /** Number of queued items, including those that may not start yet. */
   get waiting(): number {
     return this.#size;
   }
@@ -74,7 +74,7 @@
       lane = { weight, startTag: this.#virtualTime, items: [] };
       this.#lanes.set(organisation, lane);
     }
-    // An organisation that comes back from idleness has saved up no claim.
+    // An idle organisation does not accumulate credit.
     if (lane.items.length === 0) lane.startTag = Math.max(lane.startTag, this.#virtualTime);
     lane.weight = weight;
     this.#order += 1;
@@ -87,12 +87,12 @@
     this.#size += 1;
   }
 
-  /** Items of an organisation that wait. */
+  /** Number of queued items of an organisation. */
   waitingOf(organisation: string): number {
     return this.#lanes.get(organisation)?.items.length ?? 0;
   }
 
-  /** Sum of the weights of organisations that wait. */
+  /** Sum of the weights of organisations with queued items. */
   get activeWeight(): number {
     return [...this.#lanes.values()].reduce(
       (sum, { items, weight }) => sum + (items.length > 0 ? weight : 0),
@@ -101,10 +101,10 @@
   }
 
   /**
-   * Whom to turn away so that a new item of an organisation can wait in a full queue: the
-   * newest of the lowest priority in the lane that is longest for its weight, if that is longer
-   * than the newcomer's own would be; else an item of the newcomer's own lane that has a
-   * lower priority. Undefined when the newcomer itself has to go.
+   * Selects the item to evict so that a new item of an organisation fits into a full queue: the
+   * newest item of the lowest priority in the lane that is longest relative to its weight, if it is
+   * longer than the lane of the new item would be; otherwise an item of a lower priority in the
+   * lane of the new item. Undefined when the new item itself must be refused.
    */
   findVictim(organisation: string, weight: number, priority: number): string | undefined {
     let longest: Lane | undefined;
@@ -159,7 +159,8 @@
 
   #nextLane(): [string, Lane] | undefined {
     let best: [string, Lane] | undefined;
-    // Hot: one pass over the organisations that wait, few even where there are thousands.
+    // Hot path: one pass over the organisations with queued items, which are few even when there
+    // are thousands of organisations.
     for (const entry of this.#lanes) {
       const [organisation, lane] = entry;
       const isEarlier = !best || lane.startTag < best[1].startTag;
@@ -168,7 +169,7 @@
     return best;
   }
 
-  /** Keeps the table as small as the number of organisations that wait or just did. */
+  /** Removes idle lanes, so that the table holds only current and recent organisations. */
   #dropIdleLane(organisation: string, lane: Lane): void {
     if (lane.items.length === 0 && lane.startTag <= this.#virtualTime)
       this.#lanes.delete(organisation);
@@ -178,9 +179,9 @@
   }
 }
 
-/** Makes the class that `p-queue` instantiates, bound to limits of its own. */
+/** Creates the class that `p-queue` instantiates, bound to the given capacity check. */
 export function createFairQueueClass(
-  hasRoom: HasRoom,
+  hasRoom: HasCapacity,
   onCreate: (queue: FairQueue) => void = () => {},
 ): new () => FairQueue {
   return class extends FairQueue {
--- a/packages/routing/src/holeFilling.ts
+++ b/packages/routing/src/holeFilling.ts
@@ -1,13 +1,13 @@
-/** How a hole in the layers of a data centre is filled with the fewest loads. */
+/** Fills a hole, a range of layers that no engine of a data centre holds, with the fewest loads. */
 import {
   countCopies,
-  fits,
+  hasMemoryFor,
   GOOD_MEMORY_PER_LAYER,
   lengthOf,
-  MOST_MEMORY_PER_LAYER,
+  MAX_MEMORY_PER_LAYER,
   SEARCH_STEP,
-} from './layerSlots';
-import type { Range, Slot } from './layerSlots';
+} from './plannedEngines';
+import type { Range, PlannedEngine } from './plannedEngines';
 import type { ModelDescription } from './routingDocument';
 
 export function findHole(copies: readonly number[]): Range | undefined {
@@ -17,79 +17,99 @@
   return { first, end: next < 0 ? copies.length : next };
 }
 
-/** Whether others hold every layer of this engine too. */
-function isSpare({ planned }: Slot, copies: readonly number[]): boolean {
+/** Whether every layer of this engine has another copy. */
+function isSpare({ planned }: PlannedEngine, copies: readonly number[]): boolean {
   return planned === null || copies.slice(planned.first, planned.end).every((count) => count > 1);
 }
 
-const heldLayers = ({ planned }: Slot): number => (planned ? lengthOf(planned) : 0);
+const countPlannedLayers = ({ planned }: PlannedEngine): number =>
+  planned ? lengthOf(planned) : 0;
 
-/** Puts an engine that is not needed where it is into a hole. */
+/** Assigns a hole to an engine whose own layers are redundant. */
 export function fillWithSpare(
-  slots: readonly Slot[],
+  engines: readonly PlannedEngine[],
   hole: Range,
   model: ModelDescription,
 ): boolean {
-  const copies = countCopies(slots, model.layers);
-  const spare = slots
-    .filter((slot) => slot.isOrderable && isSpare(slot, copies) && fits(slot, 1, model))
-    .sort((a, b) => heldLayers(a) - heldLayers(b) || a.stepFactor - b.stepFactor)[0];
+  const copies = countCopies(engines, model.layers);
+  const spare = engines
+    .filter(
+      (engine) => engine.isOrderable && isSpare(engine, copies) && hasMemoryFor(engine, 1, model),
+    )
+    .sort(
+      (a, b) => countPlannedLayers(a) - countPlannedLayers(b) || a.stepFactor - b.stepFactor,
+    )[0];
   if (!spare) return false;
-  const most = Math.max(1, Math.floor(spare.memoryMb / (model.layerMb * GOOD_MEMORY_PER_LAYER)));
-  spare.planned = { first: hole.first, end: Math.min(hole.end, hole.first + most) };
+  const maxLayers = Math.max(
+    1,
+    Math.floor(spare.memoryMb / (model.layerMb * GOOD_MEMORY_PER_LAYER)),
+  );
+  spare.planned = { first: hole.first, end: Math.min(hole.end, hole.first + maxLayers) };
   return true;
 }
 
-/** Engines that follow each other on one side of a hole, the nearest first. */
-function listBeside(slots: readonly Slot[], place: number, isBefore: boolean): readonly Slot[] {
-  const found: Slot[] = [];
-  let at = place;
+/** Engines with consecutive ranges on one side of a hole, the nearest first. */
+function listNeighbours(
+  engines: readonly PlannedEngine[],
+  holeEdge: number,
+  isBefore: boolean,
+): readonly PlannedEngine[] {
+  const found: PlannedEngine[] = [];
+  let border = holeEdge;
   for (;;) {
-    const from = at;
-    const next = slots.find(({ planned, isOrderable }) => {
+    const from = border;
+    const next = engines.find(({ planned, isOrderable }) => {
       const edge = isBefore ? planned?.end : planned?.first;
       return isOrderable && edge === from;
     });
     if (!next?.planned || found.includes(next)) return found;
     found.push(next);
-    at = isBefore ? next.planned.first : next.planned.end;
+    border = isBefore ? next.planned.first : next.planned.end;
   }
 }
 
-/** Layers that an engine can take on top of its own, at so much memory for each. */
-function spareLayers({ planned, memoryMb }: Slot, memoryPerLayerMb: number): number {
-  return Math.max(0, Math.floor(memoryMb / memoryPerLayerMb) - (planned ? lengthOf(planned) : 0));
+/** Layers that an engine can hold in addition to its own, with the given memory per layer. */
+function countSpareLayers({ planned, memoryMb }: PlannedEngine, perLayerMb: number): number {
+  return Math.max(0, Math.floor(memoryMb / perLayerMb) - (planned ? lengthOf(planned) : 0));
 }
 
-/** How much memory for each layer is left when these engines take over so many layers. */
-function findSharedMemory(
-  slots: readonly Slot[],
+/**
+ * Finds the largest memory per layer, in MB, with which these engines can take over the given
+ * number of layers; undefined when they cannot.
+ */
+function findMemoryForHole(
+  engines: readonly PlannedEngine[],
   layers: number,
   model: ModelDescription,
 ): number | undefined {
-  const leastMb = model.layerMb * GOOD_MEMORY_PER_LAYER;
-  for (let mb = model.layerMb * MOST_MEMORY_PER_LAYER; mb >= leastMb; mb -= leastMb * SEARCH_STEP) {
-    if (slots.reduce((sum, slot) => sum + spareLayers(slot, mb), 0) >= layers) return mb;
+  const minPerLayerMb = model.layerMb * GOOD_MEMORY_PER_LAYER;
+  for (
+    let perLayerMb = model.layerMb * MAX_MEMORY_PER_LAYER;
+    perLayerMb >= minPerLayerMb;
+    perLayerMb -= minPerLayerMb * SEARCH_STEP
+  ) {
+    if (engines.reduce((sum, engine) => sum + countSpareLayers(engine, perLayerMb), 0) >= layers)
+      return perLayerMb;
   }
   return undefined;
 }
 
-/** Moves the borders on one side of a hole towards it, by what each engine takes over. */
+/** Shifts the ranges on one side of a hole towards it by the layers that each engine takes over. */
 function shiftBorders(
-  beside: readonly Slot[],
+  neighbours: readonly PlannedEngine[],
   hole: Range,
-  taken: number,
+  layersToTake: number,
   isBefore: boolean,
-  mb: number,
+  perLayerMb: number,
 ) {
-  let left = taken;
-  let border = isBefore ? hole.first + taken : hole.end - taken;
-  for (const slot of beside) {
-    if (left === 0 || !slot.planned) return;
-    const extra = Math.min(left, spareLayers(slot, mb));
-    const length = lengthOf(slot.planned) + extra;
+  let left = layersToTake;
+  let border = isBefore ? hole.first + layersToTake : hole.end - layersToTake;
+  for (const engine of neighbours) {
+    if (left === 0 || !engine.planned) return;
+    const extra = Math.min(left, countSpareLayers(engine, perLayerMb));
+    const length = lengthOf(engine.planned) + extra;
     left -= extra;
-    slot.planned = isBefore
+    engine.planned = isBefore
       ? { first: border - length, end: border }
       : { first: border, end: border + length };
     border = isBefore ? border - length : border + length;
@@ -97,31 +117,37 @@
 }
 
 /**
- * Lets engines on both sides of a hole take over its layers, the nearest ones first and only as
- * many as are needed: each moves its borders a little, and loads only what it did not hold. With
- * a reach of 1 no layer leaves an engine that holds it.
+ * Extends the ranges of engines on both sides of a hole until they cover it, using the nearest
+ * engines and only as many as necessary. Each engine loads only layers that it did not hold. With
+ * a `maxReach` of 1, every engine keeps the layers that it holds.
  */
-export function fillFromBeside(
-  slots: readonly Slot[],
+export function fillFromNeighbours(
+  engines: readonly PlannedEngine[],
   hole: Range,
   model: ModelDescription,
-  mostReach: number,
+  maxReach: number,
 ): boolean {
-  const before = listBeside(slots, hole.first, true);
-  const after = listBeside(slots, hole.end, false);
+  const before = listNeighbours(engines, hole.first, true);
+  const after = listNeighbours(engines, hole.end, false);
   const layers = lengthOf(hole);
-  const farthest = Math.min(mostReach, Math.max(before.length, after.length));
+  const farthest = Math.min(maxReach, Math.max(before.length, after.length));
   for (let reach = 1; reach <= farthest; reach += 1) {
     const nearBefore = before.slice(0, reach);
     const nearAfter = after.slice(0, reach);
-    const mb = findSharedMemory([...nearBefore, ...nearAfter], layers, model);
-    if (mb !== undefined) {
-      const mostAfter = nearAfter.reduce((sum, slot) => sum + spareLayers(slot, mb), 0);
-      const mostBefore = nearBefore.reduce((sum, slot) => sum + spareLayers(slot, mb), 0);
-      const share = Math.round((layers * mostBefore) / (mostBefore + mostAfter));
-      const takenBefore = Math.min(mostBefore, Math.max(share, layers - mostAfter));
-      shiftBorders(nearBefore, hole, takenBefore, true, mb);
-      shiftBorders(nearAfter, hole, layers - takenBefore, false, mb);
+    const perLayerMb = findMemoryForHole([...nearBefore, ...nearAfter], layers, model);
+    if (perLayerMb !== undefined) {
+      const maxAfter = nearAfter.reduce(
+        (sum, engine) => sum + countSpareLayers(engine, perLayerMb),
+        0,
+      );
+      const maxBefore = nearBefore.reduce(
+        (sum, engine) => sum + countSpareLayers(engine, perLayerMb),
+        0,
+      );
+      const share = Math.round((layers * maxBefore) / (maxBefore + maxAfter));
+      const takenBefore = Math.min(maxBefore, Math.max(share, layers - maxAfter));
+      shiftBorders(nearBefore, hole, takenBefore, true, perLayerMb);
+      shiftBorders(nearAfter, hole, layers - takenBefore, false, perLayerMb);
       return true;
     }
   }
--- a/packages/routing/src/lineage.ts
+++ b/packages/routing/src/lineage.ts
@@ -1,7 +1,7 @@
-/** Checks that a token came through every layer once, in order. */
+/** Checks that a token passed through every layer exactly once, in order. */
 import type { ChainStage } from './chain';
 
-/** One engine's mark on a token that went through it. */
+/** Record that an engine adds to a token: the layers that it ran. */
 export interface LineageMark {
   readonly engine: string;
   readonly firstLayer: number;
@@ -9,7 +9,7 @@
 }
 
 export interface TokenEvent {
-  /** Position in the session: 0 is the first token of the answer. */
+  /** Index in the session; 0 is the first token of the answer. */
   readonly position: number;
   readonly tokenId: number;
   readonly text: string;
@@ -19,7 +19,7 @@
 export type LineageProblem =
   'position-gap' | 'position-repeat' | 'stage-missing' | 'stage-wrong' | 'layer-gap';
 
-/** What is wrong with a token; null when it may be sent on. */
+/** Returns why a token is invalid; null when it may be forwarded. */
 export function findLineageProblem(
   event: TokenEvent,
   expectedPosition: number,
--- a/packages/routing/src/namedLimits.ts
+++ b/packages/routing/src/namedLimits.ts
@@ -1,76 +1,76 @@
 /**
- * Limits that servers named to this VM, and the part of each that this VM may use by itself.
+ * Rate limits that servers announced to this VM, and the quota of each that this VM may use alone.
  *
- * The VM that received the answer is bound at once, before it knows of any other. Permits come from
- * one account for all VMs. A VM that cannot reach the account sends no more than its own quota, so
- * that VMs on their own add little to what the account gives out.
+ * A VM observes a limit as soon as it receives it with an answer, before other VMs know of it.
+ * Permits are granted by one account for all VMs. A VM that cannot reach the account sends no more
+ * than its own quota, so that isolated VMs add little to the rate that the account grants.
  */
 import type { Clock, Random } from '@spoolplank/shared';
-import { LEAST_PER_S } from './permitAccount';
+import { MIN_RATE_PER_S } from './permitAccount';
 import { createTokenBucket } from './tokenBucket';
 import type { TokenBucket } from './tokenBucket';
 
 export interface NamedLimitsOptions {
   readonly clock: Pick<Clock, 'steadyMs'>;
   readonly random: Random;
-  /** VMs that share the servers, this one included. */
+  /** Number of VMs that share the servers, including this one. */
   readonly countVms: () => number;
 }
 
-/** A limit as one VM believes in it. */
+/** A limit as known to this VM. */
 export interface NamedLimit {
   readonly instanceId: string;
   readonly perS: number;
-  /** Time since the server last named it to this VM, in milliseconds. */
+  /** Time since the server last announced it to this VM, in milliseconds. */
   readonly namedAgoMs: number;
 }
 
 export interface NamedLimits {
-  /** Takes in that a server named a rate; returns what it had named before, or null. */
+  /** Records a rate that a server announced; returns the previous rate, or null. */
   name(instanceId: string, perS: number): number | null;
-  /** The rate that a server named to this VM; null where it named none. */
+  /** The rate that a server announced to this VM; null if none. */
   perSOf(instanceId: string): number | null;
-  /** Whether this VM may send a request now without asking anybody. */
+  /** Whether the own quota of this VM allows a request now, without the account. */
   hasOwnPermit(instanceId: string): boolean;
   takeOwnPermit(instanceId: string): boolean;
   /**
-   * Takes in that the account knows of no limit, as it was asked so long ago; false where the
-   * server has named one since, or none was known.
+   * Removes a limit because the account, asked `askedAgoMs` ago, knows of none. Returns false if
+   * the server has announced one since then, or if no limit was known.
    */
   end(instanceId: string, askedAgoMs: number): boolean;
   list(): readonly NamedLimit[];
-  /** Forgets limits of which nothing was heard for long. */
+  /** Removes limits that have not been announced within the expiry time. */
   sweep(): void;
 }
 
-interface Row {
+interface LimitRow {
   perS: number;
   namedAtMs: number;
   own: TokenBucket;
   ownUsedAtMs: number;
 }
 
-/** Of a limit, for all VMs together that are on their own. */
+/** Share of a limit for all VMs together that cannot reach the account. */
 const OWN_SHARE = 0.15;
-/** A part that was not asked for so long is drawn anew. */
+/** A quota that has been unused for longer is drawn anew, so that it does not accumulate. */
 const OWN_IDLE_MS = 2000;
-const FORGOTTEN_MS = 60_000;
+const EXPIRY_MS = 60_000;
 
 export function createNamedLimits(options: NamedLimitsOptions): NamedLimits {
   const { clock, random, countVms } = options;
-  const rows = new Map<string, Row>();
+  const rows = new Map<string, LimitRow>();
 
-  /** VMs that come to be on their own together must not all send at once. */
-  function drawOwnQuota(row: Pick<Row, 'perS'>): TokenBucket {
+  /** The random initial fill keeps VMs that become isolated together from sending at once. */
+  function drawOwnQuota(row: Pick<LimitRow, 'perS'>): TokenBucket {
     return createTokenBucket({
       clock,
-      ratePerS: () => (Math.max(row.perS, LEAST_PER_S) * OWN_SHARE) / Math.max(1, countVms()),
+      ratePerS: () => (Math.max(row.perS, MIN_RATE_PER_S) * OWN_SHARE) / Math.max(1, countVms()),
       tokens: random.nextFloat(),
-      leastBurst: 1,
+      minBurst: 1,
     });
   }
 
-  function createRow(perS: number): Row {
+  function createRow(perS: number): LimitRow {
     const nowMs = clock.steadyMs();
     const row = { perS, namedAtMs: nowMs, ownUsedAtMs: nowMs };
     return Object.assign(row, { own: drawOwnQuota(row) });
@@ -112,7 +112,7 @@
         namedAgoMs: Math.round(clock.steadyMs() - namedAtMs),
       })),
     sweep() {
-      const oldestMs = clock.steadyMs() - FORGOTTEN_MS;
+      const oldestMs = clock.steadyMs() - EXPIRY_MS;
       rows.forEach(({ namedAtMs }, instanceId) => {
         if (namedAtMs < oldestMs) rows.delete(instanceId);
       });
--- a/packages/routing/src/permitAccount.ts
+++ b/packages/routing/src/permitAccount.ts
@@ -1,125 +1,130 @@
 /**
- * The account of permits to send to servers that named a limit: the side of the VM that gives them
- * out to all others.
+ * Account of the permits to send to servers with a rate limit, kept by the VM that grants them to
+ * all others.
  *
- * The load pattern it answers: a server names the requests a second that it takes from all VMs
- * together. VMs that each keep to the limit exceed it as often as there are VMs, and with equal
- * parts one in eleven has a permit every three seconds and one in three hundred every minute and a
- * half, while others leave theirs unused. One account for a server gives each permit to somebody
- * who has a request, so the limit is kept to one request and used as long as anybody asks.
+ * A server announces the requests per second that it accepts from all VMs together. If every VM
+ * applied the limit on its own, the total rate would exceed it by a factor of the number of VMs.
+ * With equal parts, each of eleven VMs would get a permit every three seconds, and each of three
+ * hundred every minute and a half, while other VMs leave theirs unused. One account per server
+ * grants each permit to a VM that has a request, so the limit is kept to within one request and
+ * fully used while there is demand.
  */
 import type { Clock } from '@spoolplank/shared';
 import { createTokenBucket } from './tokenBucket';
 import type { TokenBucket } from './tokenBucket';
 
-/** What the answer to a request says of the limit of its server. */
+/** The limit that the answer to a request announces, or its absence. */
 export type LimitDirective =
   { readonly kind: 'named'; readonly perS: number } | { readonly kind: 'unnamed' };
 
 export interface PermitAccountOptions {
   readonly clock: Pick<Clock, 'steadyMs'>;
-  /** The share of a server's limit that is given out here now; see `lentShare`. */
+  /** The share of a server's limit that this VM currently grants; see `lentShare`. */
   readonly shareOf: (instanceId: string) => number;
 }
 
-/** The place of a VM among those that may give out permits. */
-export interface Standing {
-  /** Whether all VMs ask this one, as far as it can know. */
+/** The role of a VM among those that may grant permits. */
+export interface AccountRole {
+  /** Whether all VMs ask this one, as far as it knows. */
   readonly isOwner: boolean;
-  /** VMs that asked it lately. */
+  /** Number of VMs that asked it recently. */
   readonly askers: number;
-  /** VMs that share the servers. */
+  /** Number of VMs that share the servers. */
   readonly vms: number;
 }
 
-/** What a named rate did to the account. */
+/** Effect of an announced rate on the account. */
 export type LimitChange = 'begun' | 'changed' | 'repeated' | 'outdated';
 
-/** A limit that stands, or has just ended. */
+/** A limit that is in force, or that has ended recently. */
 export interface AccountedLimit {
   readonly instanceId: string;
-  /** As the server named it; null where it names none any more. */
+  /** Rate announced by the server; null if it no longer announces one. */
   readonly perS: number | null;
-  /** Permits a second that are given out now. */
+  /** Permits per second that are currently granted. */
   readonly ratePerS: number;
-  /** Time since the server last named it, in milliseconds. */
+  /** Time since the server last announced it, in milliseconds. */
   readonly namedAgoMs: number;
 }
 
 export interface PermitAccount {
-  /** Takes in that a server named a rate, with an answer that came so long ago. */
+  /** Records a rate that a server announced with an answer received `agoMs` ago. */
   name(instanceId: string, perS: number, agoMs: number): LimitChange;
   /**
-   * Takes in an answer without a limit to a request that was sent so long ago; whether the limit
-   * has ended by it.
+   * Records an answer without a limit, to a request sent `sentAgoMs` ago. Returns whether this
+   * ended the limit.
    */
   recordUnnamed(instanceId: string, sentAgoMs: number): boolean;
-  /** The rate that a server named; null where no limit stands. */
+  /** The rate that a server announced; null if no limit is in force. */
   perSOf(instanceId: string): number | null;
-  /** Permits a second that are given out for a server now; infinite where nothing bounds them. */
+  /** Permits per second that are currently granted for a server; infinite without a limit. */
   ratePerS(instanceId: string): number;
   hasPermit(instanceId: string): boolean;
-  /** Takes a permit to send one request; false when there is none now. */
+  /** Takes a permit to send one request; false when none is available. */
   take(instanceId: string): boolean;
   /** Returns a permit for a request that was not sent. */
   refund(instanceId: string): void;
   list(): readonly AccountedLimit[];
-  /** Forgets limits that ended, and those of which nothing was heard for long. */
+  /** Removes ended limits, and limits that have not been announced within the expiry time. */
   sweep(): void;
 }
 
-interface Row {
+interface LimitRow {
   readonly instanceId: string;
   perS: number;
   namedAtMs: number;
-  /** Answers without a limit since it was named last. */
+  /** Number of answers without a limit since it was last announced. */
   unnamed: number;
-  /** Null while the limit stands. */
+  /** Null while the limit is in force. */
   endedAtMs: number | null;
   readonly bucket: TokenBucket;
 }
 
-/** The rest is for what VMs send that cannot reach the account. */
+/** Share granted by the owner; the rest is for VMs that cannot reach the account. */
 const OWNER_SHARE = 0.95;
-/** Of a limit, over all VMs that stand in for the owner, whoever can reach whom. */
+/** Share granted by all VMs that stand in for the owner, however the network is partitioned. */
 const STAND_IN_SHARE = 0.3;
-/** A server that takes nothing is asked so often whether it still does. */
-export const LEAST_PER_S = 0.25;
-/** Answers without a limit that end it, each with the time since it was named last. */
-const ENDS = [
+/** Rate of probe requests to a server that accepts none, to detect when that changes. */
+export const MIN_RATE_PER_S = 0.25;
+/** Number of answers without a limit that end it, with the minimum time since it was announced. */
+const END_CONDITIONS = [
   { unnamed: 3, afterMs: 1000 },
   { unnamed: 2, afterMs: 4000 },
 ];
-/** After the end of a limit, the rate doubles this often: all who wait would come at once. */
+/**
+ * Doubling time of the rate after a limit has ended; otherwise all waiting requests are sent at
+ * once.
+ */
 const DOUBLING_MS = 200;
-const RETURN_MS = 1000;
-/** A limit that nobody heard named for so long is forgotten: the first answer names it again. */
-const FORGOTTEN_MS = 60_000;
+const RAMP_UP_MS = 1000;
+/** Limits not announced for this long are removed; the next answer announces them again. */
+const EXPIRY_MS = 60_000;
 
 /**
- * The share of a limit that a VM gives out. Owner, stand-ins, and VMs that reach neither together
- * stay below one and a half times the limit: a stand-in's share follows the number of VMs that ask
- * it, so the shares of VMs that cannot reach each other add up to one limit at most.
+ * Returns the share of a limit that a VM grants. The owner, its stand-ins, and the VMs that reach
+ * neither together stay below one and a half times the limit. The share of a stand-in is
+ * proportional to the number of VMs that ask it, so the shares of stand-ins in different partitions
+ * add up to `STAND_IN_SHARE` at most.
  */
-export function lentShare({ isOwner, askers, vms }: Standing): number {
+export function lentShare({ isOwner, askers, vms }: AccountRole): number {
   return isOwner ? OWNER_SHARE : STAND_IN_SHARE * Math.min(1, askers / Math.max(1, vms));
 }
 
 export function createPermitAccount(options: PermitAccountOptions): PermitAccount {
   const { clock, shareOf } = options;
-  const rows = new Map<string, Row>();
+  const rows = new Map<string, LimitRow>();
 
-  function rateOf({ instanceId, perS, endedAtMs }: Row): number {
+  function rateOf({ instanceId, perS, endedAtMs }: LimitRow): number {
     if (endedAtMs !== null) {
       const sinceMs = clock.steadyMs() - endedAtMs;
-      if (sinceMs >= RETURN_MS) return Number.POSITIVE_INFINITY;
-      return Math.max(perS, LEAST_PER_S) * 2 ** (sinceMs / DOUBLING_MS);
+      if (sinceMs >= RAMP_UP_MS) return Number.POSITIVE_INFINITY;
+      return Math.max(perS, MIN_RATE_PER_S) * 2 ** (sinceMs / DOUBLING_MS);
     }
-    return Math.max(perS, LEAST_PER_S) * shareOf(instanceId);
+    return Math.max(perS, MIN_RATE_PER_S) * shareOf(instanceId);
   }
 
-  function createRow(instanceId: string, perS: number, namedAtMs: number): Row {
-    const row: Row = {
+  function createRow(instanceId: string, perS: number, namedAtMs: number): LimitRow {
+    const row: LimitRow = {
       instanceId,
       perS,
       namedAtMs,
@@ -130,7 +135,7 @@
     return row;
   }
 
-  function hasEnded({ endedAtMs }: Row): boolean {
+  function hasEnded({ endedAtMs }: LimitRow): boolean {
     return endedAtMs !== null;
   }
 
@@ -152,11 +157,11 @@
     recordUnnamed(instanceId, sentAgoMs) {
       const row = rows.get(instanceId);
       const nowMs = clock.steadyMs();
-      // Answers may overtake each other: one to an earlier request says nothing of now.
+      // Answers may arrive out of order: one to an earlier request is not evidence of the present.
       if (!row || hasEnded(row) || nowMs - sentAgoMs <= row.namedAtMs) return false;
       row.unnamed += 1;
       const sinceMs = nowMs - row.namedAtMs;
-      const isOver = ENDS.some(
+      const isOver = END_CONDITIONS.some(
         ({ unnamed, afterMs }) => row.unnamed >= unnamed && sinceMs >= afterMs,
       );
       if (!isOver) return false;
@@ -187,8 +192,8 @@
     sweep() {
       const nowMs = clock.steadyMs();
       rows.forEach(({ namedAtMs, endedAtMs }, instanceId) => {
-        const isBack = endedAtMs !== null && nowMs - endedAtMs > RETURN_MS;
-        if (isBack || nowMs - namedAtMs > FORGOTTEN_MS) rows.delete(instanceId);
+        const hasRampedUp = endedAtMs !== null && nowMs - endedAtMs > RAMP_UP_MS;
+        if (hasRampedUp || nowMs - namedAtMs > EXPIRY_MS) rows.delete(instanceId);
       });
     },
   };
--- a/packages/routing/src/placement.ts
+++ b/packages/routing/src/placement.ts
@@ -1,39 +1,43 @@
 /**
- * Which engine is to hold which layers, inside each data centre.
+ * Plans which engine holds which layers, separately for each data centre.
  *
- * Each chain is laid out for short answers (`layOutChain`); what it does not need holds second
- * copies. A lost engine's part is taken over by these, or by those that stand beside it. A data
- * centre with the memory for it gets several chains of like size (`planChainCount`).
+ * Each chain is laid out for low latency (`layOutChain`); engines that it does not need hold second
+ * copies of layers. When an engine is lost, its layers are covered by these copies or taken over by
+ * the engines with adjacent ranges. A data centre with enough memory gets several chains of similar
+ * size (`planChainCount`).
  */
 import { planChainCount, splitIntoChains } from './chainCount';
 import {
-  addSecondCopy,
+  addSecondCopies,
   chooseMemoryPerLayer,
   findBestRange,
   layOutChain,
   layOutInOrder,
 } from './chainLayout';
-import { fillFromBeside, fillWithSpare, findHole } from './holeFilling';
-import { countCopies, findMemoryPerLayer, GOOD_MEMORY_PER_LAYER } from './layerSlots';
-import type { Range, Slot } from './layerSlots';
+import { fillFromNeighbours, fillWithSpare, findHole } from './holeFilling';
+import { countCopies, findMemoryPerLayer, GOOD_MEMORY_PER_LAYER } from './plannedEngines';
+import type { Range, PlannedEngine } from './plannedEngines';
 import type { ModelDescription } from './routingDocument';
 import { findWholeChains } from './wholeChains';
 
-/** An engine as the planner sees it. */
+/** An engine as input of the planner. */
 export interface PlacedEngine {
   readonly id: string;
   readonly dataCentre: string;
   readonly acceleratorKind: string;
-  /** Requests that it takes as the first engine of a chain. */
+  /** Maximum number of concurrent requests as the first engine of a chain. */
   readonly slots: number;
-  /** Layers held, or being loaded; null when there are none. */
+  /** First layer that is held or being loaded; null when the engine holds none. */
   readonly firstLayer: number | null;
   readonly endLayer: number | null;
-  /** Whether it can be given an order now: it announces itself and no order is under way. */
+  /** Whether it can receive an order: it announces itself and has no order in progress. */
   readonly isOrderable: boolean;
-  /** Whether its layers count: it announces itself, stays, is not slow, and nobody suspects it. */
+  /**
+   * Whether its layers count as available: it announces itself, is not leaving, is not slow, and is
+   * not suspected of having failed.
+   */
   readonly isReliable: boolean;
-  /** Whether it still serves what it holds, be it slowly or for a short time. */
+  /** Whether it still serves the layers it holds, even if it is slow or about to leave. */
   readonly isServing: boolean;
 }
 
@@ -42,66 +46,75 @@
   readonly firstLayer: number;
   readonly endLayer: number;
   /**
-   * Whether the engine is to give up at once what it no longer holds, with the requests that run
-   * there: where layers are missing altogether, these cannot go on anyway.
+   * Whether the engine drops the layers outside its new range immediately and aborts the requests
+   * that use them. Set only when no engine serves some layer, so that these requests cannot
+   * continue anyway.
    */
   readonly isPreempting: boolean;
 }
 
-/** One layer too many costs a few requests; an order for it costs more. */
+/** Excess layers that are tolerated: one costs a few requests, an order to drop it costs more. */
 const TRIM_SLACK = 1;
 
-/** Engines beside whole chains that hold so many of the layers are one that is broken. */
+/**
+ * Share of the layers from which on engines that belong to no whole chain are treated as a broken
+ * chain.
+ */
 const BROKEN_CHAIN_SHARE = 0.7;
 
-/** Spreads all layers over the engines, in the order given, with like memory for each layer. */
-function spread(slots: readonly Slot[], model: ModelDescription): void {
-  const memoryMb = findMemoryPerLayer(slots, model);
-  if (memoryMb !== undefined) layOutInOrder(slots, memoryMb, model);
+/** Distributes all layers over the engines in the given order, with equal memory per layer. */
+function spreadLayers(engines: readonly PlannedEngine[], model: ModelDescription): void {
+  const memoryMb = findMemoryPerLayer(engines, model);
+  if (memoryMb !== undefined) layOutInOrder(engines, memoryMb, model);
 }
 
-/** Whether engines have the memory for every layer, and for requests beside it. */
-function canHoldAll(slots: readonly Slot[], model: ModelDescription): boolean {
+/** Whether the engines have enough memory for every layer and for running requests. */
+function canHoldAll(engines: readonly PlannedEngine[], model: ModelDescription): boolean {
   const perLayerMb = model.layerMb * GOOD_MEMORY_PER_LAYER;
-  const layers = slots.reduce((sum, { memoryMb }) => sum + Math.floor(memoryMb / perLayerMb), 0);
+  const layers = engines.reduce((sum, { memoryMb }) => sum + Math.floor(memoryMb / perLayerMb), 0);
   return layers >= model.layers;
 }
 
 interface HoleOptions {
   /**
-   * Whether engines that are about to go, or are slow, still serve the layers that are missing:
-   * then nothing is ordered that would take away layers which others hold.
+   * Whether leaving or slow engines still serve the missing layers. If so, no order may remove a
+   * layer from the engine that holds it.
    */
   readonly isStillServed: boolean;
 }
 
 function fillHoles(
-  slots: readonly Slot[],
+  engines: readonly PlannedEngine[],
   model: ModelDescription,
   { isStillServed }: HoleOptions,
 ): void {
-  const reach = isStillServed ? 1 : slots.length;
-  for (let tries = 0; tries < slots.length; tries += 1) {
-    const hole = findHole(countCopies(slots, model.layers));
+  const maxReach = isStillServed ? 1 : engines.length;
+  for (let attempt = 0; attempt < engines.length; attempt += 1) {
+    const hole = findHole(countCopies(engines, model.layers));
     if (!hole) return;
-    const isFilled = fillWithSpare(slots, hole, model) || fillFromBeside(slots, hole, model, reach);
+    const isFilled =
+      fillWithSpare(engines, hole, model) || fillFromNeighbours(engines, hole, model, maxReach);
     if (!isFilled) break;
   }
-  if (isStillServed || !findHole(countCopies(slots, model.layers))) return;
-  // Nothing smaller helps: all engines move on, each keeping what it can.
-  const free = slots.filter(({ isOrderable }) => isOrderable);
-  if (free.length < slots.length) return;
-  const order = (slot: Slot) => slot.held?.first ?? model.layers;
-  spread(
-    [...free].sort((a, b) => order(a) - order(b)),
+  if (isStillServed || !findHole(countCopies(engines, model.layers))) return;
+  // No local repair suffices: all layers are distributed anew in the current order of the engines,
+  // so that each engine keeps as many of its layers as possible.
+  const movable = engines.filter(({ isOrderable }) => isOrderable);
+  if (movable.length < engines.length) return;
+  const firstHeldLayer = (engine: PlannedEngine) => engine.held?.first ?? model.layers;
+  spreadLayers(
+    [...movable].sort((a, b) => firstHeldLayer(a) - firstHeldLayer(b)),
     model,
   );
 }
 
-/** Time of a step at the fastest engine that holds each layer. */
-function stepFactorByLayer(slots: readonly Slot[], model: ModelDescription): readonly number[] {
+/** For each layer, the step factor of the fastest engine that holds it. */
+function stepFactorByLayer(
+  engines: readonly PlannedEngine[],
+  model: ModelDescription,
+): readonly number[] {
   const factors = new Array<number>(model.layers).fill(Number.POSITIVE_INFINITY);
-  slots.forEach(({ planned, stepFactor }) => {
+  engines.forEach(({ planned, stepFactor }) => {
     if (!planned) return;
     for (let layer = planned.first; layer < planned.end; layer += 1) {
       factors[layer] = Math.min(factors[layer] ?? stepFactor, stepFactor);
@@ -111,35 +124,39 @@
 }
 
 /**
- * Gives an empty engine the layers that it runs so much faster than those that hold them now, or,
- * where it is no faster, second copies.
+ * Assigns to an empty engine the layers for which it reduces the step time most or, if it is not
+ * faster than the current holders of any layer, second copies.
  */
-function employ(
-  slots: readonly Slot[],
-  empty: Slot,
+function assignEmptyEngine(
+  engines: readonly PlannedEngine[],
+  empty: PlannedEngine,
   perLayerMb: number,
   model: ModelDescription,
 ): void {
   const length = Math.min(model.layers, Math.floor(empty.memoryMb / perLayerMb));
   if (length === 0) return;
-  const gains = stepFactorByLayer(slots, model).map((factor) =>
+  const gains = stepFactorByLayer(engines, model).map((factor) =>
     Math.max(0, factor - empty.stepFactor),
   );
   if (gains.some((gain) => gain > 0)) empty.planned = findBestRange(gains, length);
-  else addSecondCopy(slots, empty, perLayerMb, model);
+  else addSecondCopies(engines, empty, perLayerMb, model);
 }
 
 function isSame(a: Range | null, b: Range | null): boolean {
   return a?.first === b?.first && a?.end === b?.end;
 }
 
-/** Takes layers that others hold too from engines that hold more than their share. */
-function trim(slots: readonly Slot[], memoryMb: number, model: ModelDescription): void {
-  const copies = countCopies(slots, model.layers);
-  slots.forEach((slot) => {
-    if (!slot.isOrderable || !slot.planned || slot.held === null) return;
-    const share = Math.floor(slot.memoryMb / memoryMb) + TRIM_SLACK;
-    let { first, end } = slot.planned;
+/** Removes redundant layers from engines that hold more than their share. */
+function trimExcessLayers(
+  engines: readonly PlannedEngine[],
+  memoryMb: number,
+  model: ModelDescription,
+): void {
+  const copies = countCopies(engines, model.layers);
+  engines.forEach((engine) => {
+    if (!engine.isOrderable || !engine.planned || engine.held === null) return;
+    const share = Math.floor(engine.memoryMb / memoryMb) + TRIM_SLACK;
+    let { first, end } = engine.planned;
     while (end - first > share && (copies[end - 1] ?? 0) > 1) {
       end -= 1;
       copies[end] = (copies[end] ?? 0) - 1;
@@ -148,62 +165,69 @@
       copies[first] = (copies[first] ?? 0) - 1;
       first += 1;
     }
-    slot.planned = { first, end };
+    engine.planned = { first, end };
   });
 }
 
-function improve(slots: readonly Slot[], model: ModelDescription, chains: number): void {
-  // One thing at a time: what is being loaded shows before the next step is decided.
-  if (slots.some(({ isOrderable }) => !isOrderable)) return;
-  const empties = slots.filter(({ planned }) => planned === null);
+function improveLayout(
+  engines: readonly PlannedEngine[],
+  model: ModelDescription,
+  chains: number,
+): void {
+  // Waits for orders in progress: their effect is known before the next change is planned.
+  if (engines.some(({ isOrderable }) => !isOrderable)) return;
+  const empties = engines.filter(({ planned }) => planned === null);
   if (empties.length === 0 && chains > 1) return;
   const memoryMb =
-    chains > 1 ? findMemoryPerLayer(slots, model, chains) : chooseMemoryPerLayer(slots, model);
+    chains > 1 ? findMemoryPerLayer(engines, model, chains) : chooseMemoryPerLayer(engines, model);
   if (memoryMb === undefined) return;
-  // With several chains every layer is held more than once on purpose.
-  if (empties.length === 0) trim(slots, memoryMb, model);
-  empties.forEach((empty) => employ(slots, empty, memoryMb, model));
+  // Trims only a single chain: with several, every layer is held more than once by design.
+  if (empties.length === 0) trimExcessLayers(engines, memoryMb, model);
+  empties.forEach((empty) => assignEmptyEngine(engines, empty, memoryMb, model));
 }
 
-/** Fills holes with engines that hold nothing, and with no others. */
-function fillWithEmpty(slots: readonly Slot[], model: ModelDescription): void {
-  const hasEmpty = () => slots.some(({ planned, isOrderable }) => !planned && isOrderable);
+/** Fills holes using only engines that hold no layers. */
+function fillHolesWithEmptyEngines(
+  engines: readonly PlannedEngine[],
+  model: ModelDescription,
+): void {
+  const hasEmpty = () => engines.some(({ planned, isOrderable }) => !planned && isOrderable);
   while (hasEmpty()) {
-    const hole = findHole(countCopies(slots, model.layers));
-    if (!hole || !fillWithSpare(slots, hole, model)) return;
+    const hole = findHole(countCopies(engines, model.layers));
+    if (!hole || !fillWithSpare(engines, hole, model)) return;
   }
 }
 
-interface MendOptions {
+interface RepairOptions {
   readonly chains: number;
-  /** Whether engines that hold layers may be ordered to hold others. */
+  /** Whether engines that hold layers may receive a different range. */
   readonly mayMove: boolean;
 }
 
 /**
- * Repairs a broken chain beside whole ones with its remaining engines and with idle ones. Returns
- * whether there was one.
+ * Repairs a broken chain next to whole ones, using its remaining engines and idle ones. Returns
+ * whether the plan contains a repaired chain; otherwise the plan is unchanged.
  */
-function mendBrokenChain(
-  slots: readonly Slot[],
+function repairBrokenChain(
+  engines: readonly PlannedEngine[],
   model: ModelDescription,
-  { chains, mayMove }: MendOptions,
+  { chains, mayMove }: RepairOptions,
 ): boolean {
-  const { count, rest } = findWholeChains(slots, model);
-  const held = countCopies(rest, model.layers).filter((copies) => copies > 0).length;
-  const isWorthwhile = count < chains || held >= model.layers * BROKEN_CHAIN_SHARE;
+  const { count, rest } = findWholeChains(engines, model);
+  const heldLayers = countCopies(rest, model.layers).filter((copies) => copies > 0).length;
+  const isWorthwhile = count < chains || heldLayers >= model.layers * BROKEN_CHAIN_SHARE;
   if (!isWorthwhile || !canHoldAll(rest, model)) return false;
   const before = rest.map(({ planned }) => planned);
   if (mayMove) fillHoles(rest, model, { isStillServed: false });
-  else fillWithEmpty(rest, model);
+  else fillHolesWithEmptyEngines(rest, model);
   if (findWholeChains(rest, model).count > 0) return true;
-  rest.forEach((slot, index) => {
-    slot.planned = before[index] ?? null;
+  rest.forEach((engine, index) => {
+    engine.planned = before[index] ?? null;
   });
   return false;
 }
 
-/** Whether engines that serve, if only for now, hold every layer between them. */
+/** Whether the engines that still serve, including slow and leaving ones, cover every layer. */
 function isServed(engines: readonly PlacedEngine[], model: ModelDescription): boolean {
   const layers = new Set<number>();
   engines.forEach(({ isServing, firstLayer, endLayer }) => {
@@ -219,7 +243,7 @@
   { mayImprove, mayMove }: { readonly mayImprove: boolean; readonly mayMove: boolean },
 ): readonly PlacementOrder[] {
   const kinds = new Map(model.kinds.map((kind) => [kind.name, kind]));
-  const slots = engines.flatMap((engine): Slot[] => {
+  const plannedEngines = engines.flatMap((engine): PlannedEngine[] => {
     const kind = kinds.get(engine.acceleratorKind);
     if (!kind || !engine.isReliable) return [];
     const { id, firstLayer, endLayer, isOrderable } = engine;
@@ -239,15 +263,15 @@
       },
     ];
   });
-  const chains = planChainCount(slots, model);
-  const isIncomplete = findHole(countCopies(slots, model.layers)) !== undefined;
+  const chains = planChainCount(plannedEngines, model);
+  const isIncomplete = findHole(countCopies(plannedEngines, model.layers)) !== undefined;
   const isStillServed = isServed(engines, model);
-  if (slots.every(({ held }) => held === null)) {
-    splitIntoChains(slots, chains).forEach((chain) => layOutChain(chain, model));
-  } else if (isIncomplete) fillHoles(slots, model, { isStillServed });
-  else if (!mendBrokenChain(slots, model, { chains, mayMove }) && mayImprove)
-    improve(slots, model, chains);
-  return slots.flatMap(({ id, held, planned }) =>
+  if (plannedEngines.every(({ held }) => held === null)) {
+    splitIntoChains(plannedEngines, chains).forEach((chain) => layOutChain(chain, model));
+  } else if (isIncomplete) fillHoles(plannedEngines, model, { isStillServed });
+  else if (!repairBrokenChain(plannedEngines, model, { chains, mayMove }) && mayImprove)
+    improveLayout(plannedEngines, model, chains);
+  return plannedEngines.flatMap(({ id, held, planned }) =>
     planned && !isSame(held, planned)
       ? [
           {
@@ -271,19 +295,22 @@
 
 export interface PlacementOptions {
   /**
-   * Whether a data centre that has all layers may be ordered to spread them better: every order
-   * sends some requests away for a moment, so that is not done right after the last one.
+   * Whether the layout of a data centre that has all layers may be optimised. Every order
+   * interrupts some requests, so the caller spaces these changes out.
    */
   readonly mayImprove?: (dataCentre: string) => boolean;
   /**
-   * Whether a broken chain beside whole ones may be laid out anew: engines that are moved are out
-   * for longer than one that crashes and comes back, and meanwhile the chain runs over an engine of
-   * another one.
+   * Whether engines of a broken chain next to whole ones may be moved. Moved engines are
+   * unavailable for longer than an engine that crashes and restarts; until then the chain borrows
+   * an engine of another chain.
    */
   readonly mayMove?: (dataCentre: string) => boolean;
 }
 
-/** Plans the orders that bring every layer to every data centre, from what is held now. */
+/**
+ * Plans the orders that make every data centre hold every layer, starting from the layers that its
+ * engines hold now.
+ */
 export function planPlacement(
   engines: readonly PlacedEngine[],
   model: ModelDescription,
--- a/packages/routing/src/queueOrder.ts
+++ b/packages/routing/src/queueOrder.ts
@@ -1,32 +1,33 @@
 /**
- * In which order requests get the slots that come free.
+ * Defines the order in which queued requests get free slots.
  *
- * The load pattern it answers: for some seconds more requests come than are served, after a loss
- * of engines or when all callers come back at once. In the order of arrival everybody then waits
- * longer than the target, and nobody is in time for as long as the queue stands. Here a request
- * that can still be in time goes before one that cannot; so does one whose caller has come back
- * and will not do so again, as long as it waits. What is late already loses nothing by waiting on.
+ * After a loss of engines, or when all callers retry at once, more requests arrive for some seconds
+ * than are served. In first-come, first-served order every request then waits longer than the
+ * target for as long as the queue lasts, and none is in time. This order therefore prefers requests
+ * that can still meet the target over those that cannot. A retry takes precedence over a first
+ * attempt that is late already, and over all but begun streams shortly before it leaves the queue,
+ * as its caller will probably not retry again. A late request loses nothing by waiting longer.
  */
 
-/** What is known of a request that waits. Times are on the VM's monotonic clock. */
+/** A queued request. Times are on the VM's monotonic clock. */
 export interface QueuedRequest {
   /** 0 is the highest. */
   readonly priority: number;
   readonly arrivedAtMs: number;
-  /** Until when a slot leads to a first event within the target. */
+  /** Latest time at which a slot still leads to a first event within the target. */
   readonly inTimeUntilMs: number;
-  /** When it stops waiting. */
+  /** Time at which the request leaves the queue. */
   readonly leavesAtMs: number;
-  /** Whether its caller has tried before: few do so twice. */
+  /** Whether this is a retry by the caller; few callers retry twice. */
   readonly isRetry: boolean;
-  /** Whether it is the rest of a stream that its caller has a part of: lost if it gets no slot. */
+  /** Whether the request continues a stream that was partly delivered and would be lost. */
   readonly hasBegun?: boolean;
 }
 
-/** A returned request goes first when so little of its wait is left. */
+/** A retry gets precedence when less than this remains until it leaves the queue. */
 const LAST_CALL_MS = 300;
 
-/** The classes in the order in which they get slots. */
+/** Classes of requests, highest precedence first. */
 type QueueClass = 'begun' | 'last-call' | 'in-time' | 'retry' | 'late';
 
 const CLASS_ORDER: Readonly<Record<QueueClass, number>> = {
@@ -39,18 +40,18 @@
 
 type Compare = (a: QueuedRequest, b: QueuedRequest) => number;
 
-const byEnd: Compare = (a, b) => a.leavesAtMs - b.leavesAtMs;
+const byDeadline: Compare = (a, b) => a.leavesAtMs - b.leavesAtMs;
 const byArrival: Compare = (a, b) => a.arrivedAtMs - b.arrivedAtMs;
 
 /**
- * Among those that can be in time the newest goes first: in the order of arrival each would be
- * served at the end of its time, and what then takes a little longer would be late all the same.
+ * Order within a class. Requests that can be in time are served by their latest time for a slot,
+ * earliest first.
  */
-const COMPARE_INSIDE: Readonly<Record<QueueClass, Compare>> = {
-  begun: byEnd,
-  'last-call': byEnd,
+const COMPARE_WITHIN_CLASS: Readonly<Record<QueueClass, Compare>> = {
+  begun: byDeadline,
+  'last-call': byDeadline,
   'in-time': (a, b) => a.inTimeUntilMs - b.inTimeUntilMs,
-  retry: byEnd,
+  retry: byDeadline,
   late: byArrival,
 };
 
@@ -62,34 +63,34 @@
   return request.isRetry ? 'retry' : 'late';
 }
 
-/** Orders requests by who gets the next slot; negative when that is `a`. */
+/** Compares queued requests; negative when `a` gets the next slot. */
 export function compareQueued(a: QueuedRequest, b: QueuedRequest, nowMs: number): number {
   if (a.priority !== b.priority) return a.priority - b.priority;
   const aClass = classify(a, nowMs);
   const bClass = classify(b, nowMs);
   if (aClass !== bClass) return CLASS_ORDER[aClass] - CLASS_ORDER[bClass];
-  return COMPARE_INSIDE[aClass](a, b);
+  return COMPARE_WITHIN_CLASS[aClass](a, b);
 }
 
 export interface WaitForecast {
-  /** Requests that get a slot before this one. */
+  /** Number of requests that get a slot before this one. */
   readonly ahead: number;
-  /** Slots that came free lately, a second; 0 when none did. */
+  /** Recent rate of freed slots per second; 0 when none were freed. */
   readonly slotsPerS: number;
   readonly remainingMs: number;
-  /** Slots a second that limits allow at most; null where they are no bound. */
+  /** Maximum slots per second that limits allow; null when no limit applies. */
   readonly limitedPerS?: number | null;
 }
 
-/** Fewer slots a second than this are no rate to go by: a chain may come back at any moment. */
-const LEAST_SLOTS_PER_S = 2;
+/** Below this rate no forecast is made, as a chain may come back at any moment. */
+const MIN_SLOTS_PER_S = 2;
 const MS_PER_S = 1000;
 
-/** Whether a request can be refused at once, as it would wait in vain. */
+/** Whether a request would leave the queue before it gets a slot, and can be refused now. */
 export function isHopeless(forecast: WaitForecast): boolean {
   const { ahead, slotsPerS, remainingMs, limitedPerS = null } = forecast;
-  // A limit is certain, however low it is.
+  // A limit is known exactly, so it is used however low it is.
   if (limitedPerS !== null) return ((ahead + 1) / limitedPerS) * MS_PER_S > remainingMs;
-  if (slotsPerS < LEAST_SLOTS_PER_S) return false;
+  if (slotsPerS < MIN_SLOTS_PER_S) return false;
   return ((ahead + 1) / slotsPerS) * MS_PER_S > remainingMs;
 }
--- a/packages/routing/src/requestSize.ts
+++ b/packages/routing/src/requestSize.ts
@@ -1,38 +1,38 @@
 /**
- * How much of a chain's memory a request takes, against one of usual size.
+ * Computes the memory that a request takes on a chain, relative to a request of usual size.
  *
- * The load pattern it answers: requests differ eightfold in size. Counted by number, a chain takes
- * some more long prompts than it holds, and the newest request of all is put back in the middle
- * of its stream and read again.
+ * Requests differ in size by a factor of eight. A chain that counts requests only by number admits
+ * more long prompts than fit into its memory; the newest request is then preempted in the middle of
+ * its stream, and its prompt is read again.
  */
 import type { ModelDescription } from './routingDocument';
 
 export interface RequestSize {
-  /** Tokens of the prompt; 0 where the caller did not say. */
+  /** Tokens of the prompt; 0 if unknown. */
   readonly promptTokens: number;
-  /** Most tokens of the answer; 0 where the caller did not say. */
+  /** Maximum tokens of the answer; 0 if the caller set no limit. */
   readonly maxAnswerTokens: number;
 }
 
 /**
- * Share of an answer that a running request holds on average: long answers run longest, so of
- * those in flight more than half is written.
+ * Mean share of the usual answer that a running request holds. It is above half, as long answers
+ * run longest and are over-represented among the requests in flight.
  */
 export const MEAN_ANSWER_SHARE = 0.7;
 
-/** Tokens that a running request holds on average. */
+/** Mean number of tokens that a running request holds. */
 function heldTokens(promptTokens: number, answerTokens: number): number {
   return promptTokens + answerTokens * MEAN_ANSWER_SHARE;
 }
 
-/** Tokens that a running request of usual size holds. */
+/** Mean number of tokens that a running request of usual size holds. */
 export function usualHeldTokens(model: ModelDescription): number {
   return heldTokens(model.usualPromptTokens, model.usualAnswerTokens);
 }
 
 /**
- * The size of a request, 1 for a usual one. The prompt is known; of the answer only the usual
- * length is, and that it is no longer than the caller allows.
+ * Returns the size of a request; 1 for a usual one. The length of the prompt is known; that of the
+ * answer is assumed to be usual, bounded by the limit of the caller.
  */
 export function sizeOfRequest(request: RequestSize, model: ModelDescription): number {
   const { promptTokens, maxAnswerTokens } = request;
--- a/packages/routing/src/retryBudget.ts
+++ b/packages/routing/src/retryBudget.ts
@@ -1,8 +1,8 @@
-/** Keeps retries to a share of the traffic, so that a failure does not become a storm. */
+/** Limits retries to a share of the traffic, so that a failure does not cause a retry storm. */
 export interface RetryBudgetOptions {
-  /** Retries earned by each first attempt. */
+  /** Retries earned per first attempt. */
   readonly share?: number;
-  /** Retries that can be saved up, so that little traffic can be retried too. */
+  /** Maximum number of accumulated retries; allows retries at low traffic. */
   readonly maxSaved?: number;
 }
 
@@ -10,7 +10,7 @@
   readonly saved: number;
   /** Counts a first attempt. */
   earn(): void;
-  /** Takes one retry out of the budget; false when there is none left. */
+  /** Takes one retry out of the budget; false when none is left. */
   spend(): boolean;
 }
 
--- a/packages/routing/src/retryDelays.ts
+++ b/packages/routing/src/retryDelays.ts
@@ -1,49 +1,50 @@
 /**
- * When a caller that is turned away is to come back.
+ * Computes the retry-after time of refused callers.
  *
- * The load pattern it answers: everything is full for some seconds, and callers that are sent away
- * for a fixed second come back into the same crowd, most of them for the last time. How long it
- * will last is not known; a crowd that has stood for some time stands about as long again, so
- * callers are sent away for about that time, spread widely so that they do not return together.
+ * During an overload of some seconds, callers that retry after a fixed second meet the same
+ * overload again, and most of them do not retry a second time. The remaining duration is unknown;
+ * an overload that has lasted for some time tends to last about as long again. The delay therefore
+ * equals the time since the overload began, with a wide jitter so that callers do not return
+ * together.
  */
 import type { Clock, Random } from '@spoolplank/shared';
 
 export interface RetryDelaysOptions {
   readonly clock: Clock;
   readonly random: Random;
-  /** The shortest time to come back after, in milliseconds. */
-  readonly leastMs?: number;
-  /** The longest one, before it is spread. */
-  readonly mostMs?: number;
+  /** Minimum delay before jitter, in milliseconds. */
+  readonly minMs?: number;
+  /** Maximum delay before jitter, in milliseconds. */
+  readonly maxMs?: number;
 }
 
 export interface RetryDelays {
-  /** Records that a request was turned away for want of room. */
+  /** Records that a request was refused for lack of capacity. */
   recordFull(): void;
-  /** Records that a request found room at once, and nobody waited. */
+  /** Records that a request got capacity at once while the queue was empty. */
   recordRoom(): void;
   /**
-   * Time after which a caller with so much time left is to come back; no sooner than a forecast of
-   * when there is room, where there is one.
+   * Returns the retry-after time for a caller with the given remaining time, in milliseconds. A
+   * forecast of when capacity is available raises the delay before jitter.
    */
   afterMs(remainingMs: number, forecastMs?: number): number;
 }
 
-/** A stream lasts a few seconds: slots come free within about a second. */
-const DEFAULT_LEAST_MS = 1000;
-/** Losses are made up for in four to eight seconds; longer crowds have another reason. */
-const DEFAULT_MOST_MS = 4000;
-/** A crowd has gone when there was room for so long. */
-const CALM_MS = 1000;
-/** Callers keep to a time to come back up to a third of what they have left. */
-const REMAINING_SHARE = 1 / 3;
-/** Spread around the time that is meant: from half of it to one and a half times. */
-const LEAST_SHARE = 0.5;
-/** Random numbers are whole; a thousandth is fine enough. */
-const SPREAD_STEPS = 1000;
+/** A stream lasts a few seconds, so slots become free within about a second. */
+const DEFAULT_MIN_MS = 1000;
+/** Losses are repaired within four to eight seconds; longer overloads have another cause. */
+const DEFAULT_MAX_MS = 4000;
+/** An overload is over once capacity has been available for this long. */
+const RECOVERY_MS = 1000;
+/** Callers observe a retry-after of up to a third of their remaining time. */
+const MAX_REMAINING_SHARE = 1 / 3;
+/** The jitter factor is between 0.5 and 1.5. */
+const MIN_JITTER = 0.5;
+/** Resolution of the jitter, as random numbers are integers. */
+const JITTER_STEPS = 1000;
 
 export function createRetryDelays(options: RetryDelaysOptions): RetryDelays {
-  const { clock, random, leastMs = DEFAULT_LEAST_MS, mostMs = DEFAULT_MOST_MS } = options;
+  const { clock, random, minMs = DEFAULT_MIN_MS, maxMs = DEFAULT_MAX_MS } = options;
   let fullSinceMs: number | null = null;
   let roomSinceMs: number | null = null;
 
@@ -55,13 +56,15 @@
     recordRoom() {
       if (fullSinceMs === null) return;
       roomSinceMs ??= clock.nowMs();
-      if (clock.nowMs() - roomSinceMs > CALM_MS) fullSinceMs = null;
+      if (clock.nowMs() - roomSinceMs > RECOVERY_MS) fullSinceMs = null;
     },
     afterMs(remainingMs, forecastMs = 0) {
-      const lastedMs = fullSinceMs === null ? 0 : clock.nowMs() - fullSinceMs;
-      const meantMs = Math.min(mostMs, Math.max(leastMs, lastedMs, forecastMs));
-      const spread = LEAST_SHARE + random.nextInt(SPREAD_STEPS) / SPREAD_STEPS;
-      return Math.round(Math.max(0, Math.min(meantMs * spread, remainingMs * REMAINING_SHARE)));
+      const overloadedForMs = fullSinceMs === null ? 0 : clock.nowMs() - fullSinceMs;
+      const targetMs = Math.min(maxMs, Math.max(minMs, overloadedForMs, forecastMs));
+      const jitter = MIN_JITTER + random.nextInt(JITTER_STEPS) / JITTER_STEPS;
+      return Math.round(
+        Math.max(0, Math.min(targetMs * jitter, remainingMs * MAX_REMAINING_SHARE)),
+      );
     },
   };
 }
--- a/packages/routing/src/retryTurns.ts
+++ b/packages/routing/src/retryTurns.ts
@@ -1,20 +1,21 @@
 /**
- * When callers of a service are to come back that nothing but a known rate holds back.
+ * Assigns retry times to callers of a service that is limited only by a known rate.
  *
- * The load pattern it answers: servers named limits, and more callers come than these allow. All
- * who are sent away for the same time come back together, and most of them are sent away again;
- * one after the other, at the rate that the servers take, each finds its turn.
+ * When servers announced rate limits and more requests arrive than these allow, callers with the
+ * same retry-after return together, and most of them are refused again. Here they get consecutive
+ * retry times, spaced at the rate that the servers accept, so that each gets a permit when it
+ * returns.
  */
 import type { Clock } from '@spoolplank/shared';
 
 export interface RetryTurns {
-  /** Time until the turn of one more caller, with so many requests ahead of it, in milliseconds. */
+  /** Time until the turn of the next caller, in milliseconds, with `ahead` requests before it. */
   nextInMs(service: string, perS: number, ahead: number): number;
 }
 
 const MS_PER_S = 1000;
-/** Later turns are not given out: most of those that would take them have gone by then. */
-const LATEST_MS = 10_000;
+/** No later turns are assigned, as most callers have given up by then. */
+const MAX_DELAY_MS = 10_000;
 
 export function createRetryTurns({ clock }: { readonly clock: Pick<Clock, 'nowMs'> }): RetryTurns {
   const lastAtMs = new Map<string, number>();
@@ -24,7 +25,10 @@
       const nowMs = clock.nowMs();
       const gapMs = MS_PER_S / perS;
       const afterLastMs = (lastAtMs.get(service) ?? 0) + gapMs;
-      const atMs = Math.min(nowMs + LATEST_MS, Math.max(nowMs + (ahead + 1) * gapMs, afterLastMs));
+      const atMs = Math.min(
+        nowMs + MAX_DELAY_MS,
+        Math.max(nowMs + (ahead + 1) * gapMs, afterLastMs),
+      );
       lastAtMs.set(service, atMs);
       return Math.ceil(atMs - nowMs);
     },
--- a/packages/routing/src/routeTable.ts
+++ b/packages/routing/src/routeTable.ts
@@ -1,10 +1,10 @@
 import type { Random } from '@spoolplank/shared';
 import type { Organisation, Route, RouteTarget, RoutingDocument } from './routingDocument';
 
-/** A routing document made ready for look-ups. */
+/** A routing document indexed for look-ups. */
 export interface RouteTable {
   readonly document: RoutingDocument;
-  /** The route with the longest prefix that begins the path. */
+  /** Returns the route of the host with the longest matching path prefix. */
   findRoute(host: string, path: string): Route | undefined;
   findOrganisation(key: string): Organisation | undefined;
 }
@@ -30,7 +30,7 @@
   };
 }
 
-/** Draws a target by weight; targets of weight 0 are never drawn. */
+/** Selects a random target by weight; targets with weight 0 are never selected. */
 export function drawTarget(targets: readonly RouteTarget[], random: Random): RouteTarget {
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
   let left = random.nextFloat() * total;
--- a/packages/routing/src/routingDocument.ts
+++ b/packages/routing/src/routingDocument.ts
@@ -1,32 +1,32 @@
-/** What an operator says about routes, services and organisations, in one document. */
+/** The operator's configuration of routes, services and organisations, in one document. */
 import type { Finding } from '@spoolplank/shared';
 
-/** What may be repeated: `safe` at will, `once` never, `stream` from the last event on. */
+/** Retry semantics: `safe` may be repeated, `once` may not, `stream` may be resumed. */
 export type RouteKind = 'safe' | 'once' | 'stream';
 
 export interface RouteTarget {
   readonly service: string;
-  /** Share of the route's requests, against the sum over its targets. */
+  /** Share of the route's requests, relative to the sum over its targets. */
   readonly weight: number;
 }
 
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Whether a stream may be resumed elsewhere after its last whole event. */
+  /** Whether a stream may be resumed on another server after its last complete event. */
   readonly isResumable: boolean;
   readonly timeoutMs: number;
-  /** Within this a plain answer, or the first event of a stream, is on time. */
+  /** Target time to a plain response or to the first event of a stream. */
   readonly targetLatencyMs: number;
-  /** The longest pause between events of a stream that is on time. */
+  /** Target for the longest pause between events of a stream. */
   readonly targetGapMs: number;
   /** 0 is the highest. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** Backend servers that one request may run on. */
+  /** Maximum number of backend servers that a request is sent to. */
   readonly maxAttempts: number;
   readonly isAnonymousAllowed: boolean;
 }
@@ -34,28 +34,28 @@
 export interface AcceleratorKind {
   readonly name: string;
   readonly memoryMb: number;
-  /** Time of a step against the reference accelerator. */
+  /** Time of a step relative to the reference accelerator. */
   readonly stepFactor: number;
-  /** Time to read a prompt against the reference accelerator. */
+  /** Time to read a prompt relative to the reference accelerator. */
   readonly readFactor: number;
 }
 
-/** A model that is split over engines by layers. */
+/** A model whose layers are distributed over engines. */
 export interface ModelDescription {
   readonly layers: number;
   readonly layerMb: number;
-  /** Step of all layers on the reference accelerator, without requests. */
+  /** Time of a step over all layers on the reference accelerator, without requests. */
   readonly stepMs: number;
-  /** What each running request adds to that. */
+  /** Additional step time per running request. */
   readonly stepPerRequestMs: number;
-  /** What each token that such a request has so far adds to that. */
+  /** Additional step time per token in the context of a running request. */
   readonly contextMsPerToken: number;
-  /** Tokens that an engine writes for each request before it looks for others. */
+  /** Tokens decoded per request in one pass, before the batch is formed anew. */
   readonly stepsPerPass: number;
   readonly readTokensPerS: number;
-  /** Memory of one token over all layers. */
+  /** Cache memory of one token over all layers. */
   readonly tokenBytes: number;
-  /** Mean tokens of a prompt and of an answer. */
+  /** Mean number of tokens of a prompt; `usualAnswerTokens` is that of an answer. */
   readonly usualPromptTokens: number;
   readonly usualAnswerTokens: number;
   readonly maxConcurrentLoads: number;
@@ -76,7 +76,7 @@
   readonly priority: number;
 }
 
-/** Bounds on what a caller may send. */
+/** Limits on the requests of callers. */
 export interface CallerLimits {
   readonly maxBodyBytes: number;
   readonly headerTimeoutMs: number;
@@ -84,12 +84,12 @@
 }
 
 export interface RoutingDocument {
-  /** The operator's number; the highest is in force. */
+  /** Assigned by the operator; the document with the highest version is in force. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly ServiceDescription[];
   readonly organisations: readonly Organisation[];
-  /** Whether requests must carry an organisation's key. */
+  /** Whether requests must carry the key of an organisation. */
   readonly isKeyRequired: boolean;
   readonly limits: CallerLimits;
 }
@@ -102,18 +102,18 @@
 
 function findRouteProblems(document: RoutingDocument): readonly Finding[] {
   const services = new Set(document.services.map(({ name }) => name));
-  const places = new Set<string>();
+  const hostPaths = new Set<string>();
   return document.routes.flatMap((route, index) => {
     const pointer = `/routes/${index}`;
-    const place = `${route.host} ${route.pathPrefix}`;
-    const isTaken = places.has(place);
-    places.add(place);
+    const hostPath = `${route.host} ${route.pathPrefix}`;
+    const isDuplicate = hostPaths.has(hostPath);
+    hostPaths.add(hostPath);
     const weight = route.targets.reduce((sum, target) => sum + target.weight, 0);
     return [
       ...route.targets
         .filter(({ service }) => !services.has(service))
         .map(({ service }) => finding(pointer, `names the unknown service ${service}`)),
-      ...(isTaken ? [finding(pointer, 'has the host and path of another route')] : []),
+      ...(isDuplicate ? [finding(pointer, 'has the host and path of another route')] : []),
       ...(weight > 0 ? [] : [finding(pointer, 'has weights that add up to 0')]),
       ...(route.timeoutMs > 0 ? [] : [finding(pointer, 'has no time-out above 0')]),
     ];
@@ -133,7 +133,7 @@
   );
 }
 
-/** Everything wrong with a document that could be read. */
+/** Returns all semantic problems of a parsed document. */
 export function collectDocumentFindings(document: RoutingDocument): readonly Finding[] {
   return [...findRouteProblems(document), ...findKeyProblems(document)];
 }
--- a/packages/routing/src/selection.ts
+++ b/packages/routing/src/selection.ts
@@ -1,5 +1,5 @@
 /**
- * Choice of one backend server for a plain request.
+ * Selects a backend server for a plain request.
  *
  * Source: Mitzenmacher, "The power of two choices in randomized load balancing", 2001.
  */
@@ -10,15 +10,15 @@
 export interface SelectionRequest {
   readonly service: string;
   readonly dataCentre: string;
-  /** Names that an earlier attempt of this request has been to. */
+  /** Backend servers that earlier attempts of this request were sent to. */
   readonly excluded: ReadonlySet<string>;
   readonly nowMs: number;
 }
 
-/** What being in another data centre counts for, in requests of load. */
+/** Penalty for a backend server in another data centre, in requests of load. */
 const REMOTE_PENALTY = 2;
 
-/** What is asked of one among candidates that all serve the request. */
+/** Selection among candidates that are already known to serve the request. */
 export type CandidateRequest = Omit<SelectionRequest, 'service'>;
 
 export interface Candidate {
@@ -31,25 +31,25 @@
   return loads.estimate(candidate.name) + remote;
 }
 
-/** Picks the less loaded of two candidates drawn at random; undefined when there is none. */
+/** Selects the less loaded of two random candidates; undefined when there is none. */
 export function selectCandidate<T extends Candidate>(
   serving: readonly T[],
   request: CandidateRequest,
   loads: BackendLoadTable,
   random: Random,
 ): T | undefined {
-  const fresh = serving.filter(({ name }) => !request.excluded.has(name));
-  const candidates = loads.withoutEjected(fresh, request.nowMs);
+  const untried = serving.filter(({ name }) => !request.excluded.has(name));
+  const candidates = loads.withoutEjected(untried, request.nowMs);
   if (candidates.length < 2) return candidates[0];
-  const firstAt = random.nextInt(candidates.length);
+  const firstIndex = random.nextInt(candidates.length);
   const offset = 1 + random.nextInt(candidates.length - 1);
-  const first = candidates[firstAt];
-  const second = candidates[(firstAt + offset) % candidates.length];
+  const first = candidates[firstIndex];
+  const second = candidates[(firstIndex + offset) % candidates.length];
   if (!first || !second) return first ?? second;
   return cost(first, request, loads) <= cost(second, request, loads) ? first : second;
 }
 
-/** Picks the less loaded of two backend servers drawn at random; undefined when there is none. */
+/** Selects the less loaded of two random backend servers; undefined when there is none. */
 export function selectBackendServer(
   announced: readonly Announcement[],
   request: SelectionRequest,
--- a/packages/routing/src/slotLedger.ts
+++ b/packages/routing/src/slotLedger.ts
@@ -1,13 +1,13 @@
 /**
- * Who holds which slots on the chains of a data centre: the account of the VM that gives them out.
+ * Records which VM holds which slots on the chains of a data centre, on the VM that allocates them.
  *
- * The load pattern it answers: many VMs stand before few chains. Each of them begins one or two
- * streams a second, what it knows of the others is up to two seconds old, and half of the streams
- * of a chain turn over in that time: chains are overfilled while others stand empty. One account
- * that receives every begin and end knows each chain's load to within some milliseconds.
+ * Many VMs share few chains. Each VM starts one or two streams per second with information about
+ * the others that is up to two seconds old, and half of the streams of a chain are replaced in that
+ * time. Without coordination some chains are overloaded while others are idle. A single ledger that
+ * receives every start and end knows the load of each chain to within some milliseconds.
  *
- * A slot is held by lease. It ends when its holder no longer lists it, or has been silent for
- * longer than a lease lasts: what a VM held that is gone is free again after that.
+ * A slot is held by lease. The lease ends when its holder no longer lists the slot, or has not
+ * reported for longer than the lease time, so the slots of a lost VM become free.
  *
  * Source: Gray and Cheriton, "Leases", SOSP 1989.
  */
@@ -17,45 +17,45 @@
 export interface HeldSlot {
   /** Unique among the slots of its holder. */
   readonly ticket: string;
-  /** The engine that the chain begins with; it names the chain. */
+  /** First engine of the chain; identifies the chain. */
   readonly headId: string;
-  /** Memory that the request takes, against one of usual size. */
+  /** Memory of the request, relative to one of usual size. */
   readonly size: number;
 }
 
-/** All slots that a holder has, as it knows them. */
+/** All slots that a holder has, from its own point of view. */
 export interface HoldingsReport {
-  /** Rises with every report of a holder, so that a late one changes nothing. */
+  /** Increases with every report of a holder, so that delayed reports are ignored. */
   readonly sequence: number;
   readonly slots: readonly HeldSlot[];
 }
 
 export interface SlotLedgerOptions {
   readonly clock: Clock;
-  /** A holder that has reported nothing for so long holds nothing any more, in milliseconds. */
+  /** Lease time: a holder that has not reported for longer loses its slots, in milliseconds. */
   readonly leaseMs?: number;
-  /** A slot that its holder has not listed so long after it was given out was not taken. */
-  readonly untakenMs?: number;
+  /** Time within which a holder must list a granted slot, in milliseconds. */
+  readonly unclaimedMs?: number;
 }
 
 export interface SlotLedger {
-  /** Records that a slot was given out. */
+  /** Records that a slot was granted. */
   grant(holder: string, slot: HeldSlot): void;
-  /** Takes in what a holder has, in place of what it reported before. */
+  /** Replaces the slots that a holder reported before. */
   report(holder: string, report: HoldingsReport): void;
-  /** Frees a slot that was given out and will not be taken. */
+  /** Frees a granted slot that its holder will not use. */
   giveUp(holder: string, ticket: string): void;
-  /** Sizes of all slots that are held on a chain. */
+  /** Total size of the slots held on a chain. */
   heldOn(headId: string): number;
-  /** Number of holders that have slots here. */
+  /** Number of holders that have slots. */
   readonly holders: number;
 }
 
-/** Two reports of one second each that were lost, and what one may be late. */
+/** Tolerates the loss of two of the reports, sent every second, and the delay of the next. */
 const DEFAULT_LEASE_MS = 2600;
-/** Holders report every second: a slot that is missing from such a report was lost on its way. */
-const DEFAULT_UNTAKEN_MS = 1300;
-/** Leases need not end to the millisecond. */
+/** Holders report every second; if a granted slot is not in the next report, the grant was lost. */
+const DEFAULT_UNCLAIMED_MS = 1300;
+/** Minimum interval between sweeps, as leases need not expire to the millisecond. */
 const SWEEP_MS = 100;
 
 interface Entry {
@@ -71,7 +71,7 @@
 }
 
 export function createSlotLedger(options: SlotLedgerOptions): SlotLedger {
-  const { clock, leaseMs = DEFAULT_LEASE_MS, untakenMs = DEFAULT_UNTAKEN_MS } = options;
+  const { clock, leaseMs = DEFAULT_LEASE_MS, unclaimedMs = DEFAULT_UNCLAIMED_MS } = options;
   const holders = new Map<string, Holder>();
   const sums = new Map<string, number>();
   let sweptAtMs = Number.NEGATIVE_INFINITY;
@@ -107,8 +107,8 @@
     add(known.slot, -known.slot.size);
   }
 
-  function isUntaken({ isListed, grantedAtMs }: Entry): boolean {
-    return !isListed && clock.nowMs() - grantedAtMs > untakenMs;
+  function isUnclaimed({ isListed, grantedAtMs }: Entry): boolean {
+    return !isListed && clock.nowMs() - grantedAtMs > unclaimedMs;
   }
 
   function sweep(): void {
@@ -118,7 +118,7 @@
     holders.forEach((holder, name) => {
       const isSilent = nowMs - holder.receivedAtMs > leaseMs;
       holder.entries.forEach((entry, ticket) => {
-        if (isSilent || isUntaken(entry)) remove(holder, ticket);
+        if (isSilent || isUnclaimed(entry)) remove(holder, ticket);
       });
       if (isSilent) holders.delete(name);
     });
--- a/packages/routing/src/stageChains.ts
+++ b/packages/routing/src/stageChains.ts
@@ -1,4 +1,4 @@
-/** Splits the engines of a data centre into chains that can run side by side. */
+/** Groups the engines of a data centre into chains that run in parallel. */
 import { findStagePath } from './stagePath';
 import type { PathStage, StageEngine } from './stagePath';
 
@@ -12,16 +12,16 @@
 }
 
 /**
- * Cost of a layer that a chain leaves unused on one of its engines, in milliseconds. Far above
- * any real cost of a layer: engines that follow each other exactly belong together, whatever the
- * speed of those beside them.
+ * Cost of a layer that a chain leaves unused on one of its engines, in milliseconds. It is far
+ * above the real cost of a layer, so that engines with exactly adjacent ranges are chained
+ * regardless of the speed of the alternatives.
  */
 const UNUSED_LAYER_COST_MS = 10;
-/** Where the layers are for one chain only, the fastest path over them is the best. */
+/** With layers for only one chain, the fastest path is best, whatever it leaves unused. */
 const UNUSED_LAYER_COST_ALONE_MS = 0;
-/** An engine that another chain uses already costs so many times more. */
+/** Cost multiplier for an engine that another chain already uses. */
 const SHARED_COST_FACTOR = 3;
-/** A chain that shares more of its layers than this with others adds little that they lack. */
+/** A chain that shares a larger part of its layers with other chains adds little capacity. */
 const MAX_SHARED_LAYERS = 0.6;
 
 function countSharedLayers(stages: readonly PathStage[], used: ReadonlySet<string>): number {
@@ -31,9 +31,9 @@
 }
 
 /**
- * Finds chains until the engines are used up: first those that share no engine, then those that
- * fill a gap with an engine of another chain. The result depends on the engines alone, not on
- * their order, so that all entry VMs see the same chains.
+ * Finds chains until all engines are used: first disjoint chains, then chains that fill a hole with
+ * an engine of another chain. The result depends only on the set of engines, not on their order, so
+ * all entry VMs compute the same chains.
  */
 export function findStageChains(
   engines: readonly StageEngine[],
@@ -63,7 +63,7 @@
         ? { ...engine, layerCostMs: engine.layerCostMs * SHARED_COST_FACTOR }
         : engine,
     );
-    // Only what is still free should be used to the full; a shared engine lends a part.
+    // Unused layers cost nothing here, as a shared engine contributes only a part of its range.
     const path = findStagePath(priced, { toLayer: layers });
     const isUseful =
       path !== undefined && countSharedLayers(path.stages, used) <= layers * MAX_SHARED_LAYERS;
@@ -73,7 +73,7 @@
   return chains;
 }
 
-/** In how many of the chains each engine stands. */
+/** Counts the chains that each engine belongs to. */
 export function countChainsByEngine(chains: readonly StageChain[]): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   chains.forEach(({ stages }) =>
--- a/packages/routing/src/stagePath.ts
+++ b/packages/routing/src/stagePath.ts
@@ -1,17 +1,17 @@
-/** Choice of a path over engines that hold overlapping ranges of layers. */
+/** Finds the cheapest path over engines that hold overlapping ranges of layers. */
 
 /** An engine that a path may run over. */
 export interface StageEngine {
   readonly id: string;
   readonly address: string;
   readonly firstLayer: number;
-  /** Not part of the range. */
+  /** Exclusive. */
   readonly endLayer: number;
-  /** Estimated time that one layer costs one token there. */
+  /** Estimated time per token and layer. */
   readonly layerCostMs: number;
 }
 
-/** A part of a path: the layers that one engine runs. */
+/** A stage of a path: the layers that one engine runs. */
 export interface PathStage {
   readonly id: string;
   readonly address: string;
@@ -26,48 +26,48 @@
 
 export interface StagePathOptions {
   readonly fromLayer?: number;
-  /** Not part of the path. */
+  /** Exclusive. */
   readonly toLayer: number;
-  /** What one more engine on the way costs a token. */
+  /** Cost per token of each additional engine on the path. */
   readonly hopCostMs?: number;
-  /** What a layer costs that an engine of the path holds and the path does not run there. */
+  /** Cost of a layer that an engine of the path holds but does not run. */
   readonly unusedLayerCostMs?: number;
 }
 
-interface Partial {
+interface PartialPath {
   readonly engine: StageEngine;
   readonly enteredAt: number;
   /** Cost up to `enteredAt`. */
   readonly costMs: number;
-  readonly previous: Partial | null;
+  readonly previous: PartialPath | null;
 }
 
-/** A hop inside a data centre: 0.2 ms one way, and about as much for a wake-up at the engine. */
+/** A hop inside a data centre: 0.2 ms one-way latency, and about 0.2 ms to wake up the engine. */
 const DEFAULT_HOP_COST_MS = 0.4;
 
-function runCostMs({ engine, enteredAt }: Partial, leftAt: number): number {
+function runCostMs({ engine, enteredAt }: PartialPath, leftAt: number): number {
   return (leftAt - enteredAt) * engine.layerCostMs;
 }
 
-/** Where one engine can hand over to another: at its own end, or where the other begins. */
-function handOverPlaces(from: Partial, to: StageEngine): readonly number[] {
+/** Layers at which one engine can hand over to another: its own end, or the start of the other. */
+function listHandOverLayers(from: PartialPath, to: StageEngine): readonly number[] {
   const { engine, enteredAt } = from;
-  const places = [engine.endLayer, to.firstLayer];
-  return places.filter(
-    (place) => place > enteredAt && place >= to.firstLayer && place <= engine.endLayer,
+  const layers = [engine.endLayer, to.firstLayer];
+  return layers.filter(
+    (layer) => layer > enteredAt && layer >= to.firstLayer && layer <= engine.endLayer,
   );
 }
 
-/** Whether a path may go on there: no engine on it can then come up again. */
-function isFurther({ engine, enteredAt }: Partial, next: StageEngine): boolean {
+/** Whether a path may continue at this engine; the order ensures that no engine appears twice. */
+function canExtendTo({ engine, enteredAt }: PartialPath, next: StageEngine): boolean {
   if (next.endLayer === engine.endLayer) return next.firstLayer > enteredAt;
   return next.endLayer > engine.endLayer;
 }
 
-function toStages(last: Partial, toLayer: number): readonly PathStage[] {
+function toStages(last: PartialPath, toLayer: number): readonly PathStage[] {
   const stages: PathStage[] = [];
   let endLayer = toLayer;
-  for (let part: Partial | null = last; part; part = part.previous) {
+  for (let part: PartialPath | null = last; part; part = part.previous) {
     const { id, address } = part.engine;
     stages.unshift({ id, address, firstLayer: part.enteredAt, endLayer });
     endLayer = part.enteredAt;
@@ -76,9 +76,9 @@
 }
 
 /**
- * Finds the cheapest path that runs every layer once, in order. Each engine on it ends further
- * on than the one before, or begins further on, so none stands on it twice. Undefined when
- * layers are missing.
+ * Finds the cheapest path that runs every layer once, in order; undefined when layers are missing.
+ * Each engine on the path ends at a later layer than the one before it or, with the same end,
+ * starts after the layer at which that one was entered, so no engine appears twice.
  *
  * Source: shortest path by dynamic programming over engines in the order of their last layer.
  */
@@ -98,13 +98,13 @@
   const ordered = engines
     .map((engine) => ({ ...engine, endLayer: Math.min(engine.endLayer, toLayer) }))
     .sort((a, b) => a.endLayer - b.endLayer || a.firstLayer - b.firstLayer);
-  const best = new Map<string, Partial>();
-  const partials: Partial[][] = ordered.map((engine) =>
+  const best = new Map<string, PartialPath>();
+  const partials: PartialPath[][] = ordered.map((engine) =>
     engine.firstLayer <= fromLayer && engine.endLayer > fromLayer
       ? [{ engine, enteredAt: fromLayer, costMs: skipCostMs(engine, fromLayer), previous: null }]
       : [],
   );
-  let finished: { readonly last: Partial; readonly costMs: number } | undefined;
+  let finished: { readonly last: PartialPath; readonly costMs: number } | undefined;
   ordered.forEach((engine, index) => {
     partials[index]?.forEach((partial) => {
       if (engine.endLayer >= toLayer) {
@@ -112,16 +112,16 @@
         if (!finished || costMs < finished.costMs) finished = { last: partial, costMs };
       }
       ordered.forEach((next, nextIndex) => {
-        if (nextIndex <= index || !isFurther(partial, next)) return;
-        handOverPlaces(partial, next).forEach((place) => {
-          const unusedCostMs = leaveCostMs(engine, place) + skipCostMs(next, place);
-          const costMs = partial.costMs + runCostMs(partial, place) + hopCostMs + unusedCostMs;
-          const name = `${next.id} ${place}`;
+        if (nextIndex <= index || !canExtendTo(partial, next)) return;
+        listHandOverLayers(partial, next).forEach((layer) => {
+          const unusedCostMs = leaveCostMs(engine, layer) + skipCostMs(next, layer);
+          const costMs = partial.costMs + runCostMs(partial, layer) + hopCostMs + unusedCostMs;
+          const name = `${next.id} ${layer}`;
           const known = best.get(name);
           if (known && known.costMs <= costMs) return;
-          const improved = { engine: next, enteredAt: place, costMs, previous: partial };
+          const improved = { engine: next, enteredAt: layer, costMs, previous: partial };
           best.set(name, improved);
-          const others = partials[nextIndex]?.filter(({ enteredAt }) => enteredAt !== place) ?? [];
+          const others = partials[nextIndex]?.filter(({ enteredAt }) => enteredAt !== layer) ?? [];
           partials[nextIndex] = [...others, improved];
         });
       });
@@ -131,7 +131,7 @@
   return { stages: toStages(finished.last, toLayer), costMs: finished.costMs };
 }
 
-/** Whether a path runs every layer of a model once, in order. */
+/** Whether a path runs every layer of a model exactly once, in order. */
 export function isWholePath(stages: readonly PathStage[], layers: number): boolean {
   let nextLayer = 0;
   const isInOrder = stages.every(({ firstLayer, endLayer }) => {
--- a/packages/routing/src/tokenBucket.ts
+++ b/packages/routing/src/tokenBucket.ts
@@ -1,49 +1,49 @@
 /**
- * A token bucket whose rate may change at any moment.
+ * A token bucket whose rate may change at any time.
  *
  * Source: Turner, "New directions in communications (or which way to the information age?)", 1986.
  */
 import type { Clock } from '@spoolplank/shared';
 
 export interface TokenBucketOptions {
-  /** Tokens are waited for, so they are counted by the time that never runs ahead. */
+  /** The steady clock, which does not advance while the VM is suspended. */
   readonly clock: Pick<Clock, 'steadyMs'>;
-  /** Tokens a second, read anew each time; infinite where nothing is bounded. */
+  /** Tokens per second, evaluated on every use; infinite when the rate is not limited. */
   readonly ratePerS: () => number;
-  /** Tokens that are there at first. */
+  /** Initial number of tokens. */
   readonly tokens?: number;
-  /** Tokens that can be saved up at least. */
-  readonly leastBurst?: number;
+  /** Minimum burst size. */
+  readonly minBurst?: number;
 }
 
 export interface TokenBucket {
-  /** Takes a token; false when there is none. */
+  /** Takes a token; false when none is available. */
   take(): boolean;
   /** Returns a token that was taken and not used. */
   refund(): void;
-  /** Time until there is a token, in milliseconds; 0 when there is one. */
+  /** Time until a token is available, in milliseconds; 0 when one is. */
   waitMs(): number;
-  /** Counts the time so far at the rate so far; called before the rate changes. */
+  /** Adds the tokens earned so far at the current rate; must be called before the rate changes. */
   settle(): void;
 }
 
 const MS_PER_S = 1000;
-const DEFAULT_LEAST_BURST = 2;
-/** At high rates, tokens of so long are saved up: they are asked for at intervals. */
+const DEFAULT_MIN_BURST = 2;
+/** Burst at high rates, as a period of the rate: tokens are requested at intervals. */
 const BURST_S = 0.05;
 
 export function createTokenBucket(options: TokenBucketOptions): TokenBucket {
-  const { clock, ratePerS, leastBurst = DEFAULT_LEAST_BURST } = options;
+  const { clock, ratePerS, minBurst = DEFAULT_MIN_BURST } = options;
   let tokens = options.tokens ?? 0;
-  let settledAtMs = clock.steadyMs();
+  let refilledAtMs = clock.steadyMs();
 
-  const burst = (): number => Math.max(leastBurst, ratePerS() * BURST_S);
+  const burst = (): number => Math.max(minBurst, ratePerS() * BURST_S);
 
   function settle(): void {
     const nowMs = clock.steadyMs();
-    const earned = (ratePerS() * (nowMs - settledAtMs)) / MS_PER_S;
-    settledAtMs = nowMs;
-    // An infinite rate over no time at all is not a number.
+    const earned = (ratePerS() * (nowMs - refilledAtMs)) / MS_PER_S;
+    refilledAtMs = nowMs;
+    // An infinite rate multiplied by an elapsed time of 0 is NaN.
     tokens = Math.min(burst(), tokens + (Number.isNaN(earned) ? 0 : earned));
   }
 
--- a/packages/routing/src/unseenLoad.ts
+++ b/packages/routing/src/unseenLoad.ts
@@ -1,26 +1,26 @@
 /**
- * Estimates the load that other VMs have taken on since they last reported theirs.
+ * Estimates the load that other VMs have added since their last report.
  *
- * The load pattern it answers: a chain of engines comes back, or a VM's callers all return at
- * once, and requests wait on every VM. Each VM sees an empty chain and sends everything that
- * waits: nine VMs once put 205 streams on a chain for 134 within two seconds, and each of these
- * waited for seconds. What others do in such a moment shows in nobody's facts yet, but it shows
- * here: VMs get like shares of the callers, so the others have done what this one did.
+ * When a chain of engines comes back, or all callers retry at once, requests are queued on every
+ * VM. Each VM sees an empty chain and dispatches its whole queue: nine VMs once put 205 streams on
+ * a chain with a capacity of 134 within two seconds, and each stream was delayed by seconds. The
+ * reports do not show this load yet, but the VMs get similar shares of the callers, so the load
+ * that this VM has added is an estimate for every other one.
  */
 import type { Clock } from '@spoolplank/shared';
 
 export interface UnseenLoadOptions {
   readonly clock: Clock;
-  /** Age that loads of others have at most when they are used here, in milliseconds. */
+  /** Maximum age of the load reports that are in use, in milliseconds. */
   readonly windowMs: number;
 }
 
 export interface UnseenLoad {
-  /** Records that a request of a size began here on a chain, or ended (negative). */
+  /** Records the size of a request that this VM started on a chain; negative when it ended. */
   record(name: string, change: number): void;
   /**
-   * Requests that `peers` other VMs have probably begun on a chain beyond those that ended, and
-   * that they have not reported yet; never negative, as ends are better believed when reported.
+   * Estimates the unreported net increase of requests on a chain by `peers` other VMs. Never
+   * negative: a decrease is used only once it is reported.
    */
   estimate(name: string, ownInFlight: number, peers: number): number;
 }
@@ -32,36 +32,36 @@
 }
 
 /**
- * Begun and ended requests of one VM scatter by about the square root of their number: only a rise
- * beyond that indicates the load of others.
+ * The number of requests of one VM varies randomly by about its square root; only an increase
+ * beyond that indicates load on the other VMs.
  */
-function scatterOf(inFlight: number): number {
+function expectedDeviation(inFlight: number): number {
   return Math.sqrt(Math.max(0, inFlight) + 1);
 }
 
 export function createUnseenLoad({ clock, windowMs }: UnseenLoadOptions): UnseenLoad {
   const changes: Change[] = [];
 
-  function dropOld(): void {
+  function dropExpired(): void {
     const oldestMs = clock.nowMs() - windowMs;
-    let old = 0;
-    while (old < changes.length && (changes[old]?.atMs ?? 0) < oldestMs) old += 1;
-    if (old > 0) changes.splice(0, old);
+    let expired = 0;
+    while (expired < changes.length && (changes[expired]?.atMs ?? 0) < oldestMs) expired += 1;
+    if (expired > 0) changes.splice(0, expired);
   }
 
   return {
     record(name, change) {
-      dropOld();
+      dropExpired();
       changes.push({ atMs: clock.nowMs(), name, change });
     },
     estimate(name, ownInFlight, peers) {
-      dropOld();
+      dropExpired();
       let rise = 0;
       changes.forEach((entry) => {
         if (entry.name === name) rise += entry.change;
       });
       const before = ownInFlight - rise;
-      return Math.max(0, rise - scatterOf(before)) * peers;
+      return Math.max(0, rise - expectedDeviation(before)) * peers;
     },
   };
 }
--- a/packages/routing/src/windowBudget.ts
+++ b/packages/routing/src/windowBudget.ts
@@ -1,15 +1,15 @@
 import type { Clock } from '@spoolplank/shared';
 
 /**
- * A retry budget over a sliding window. Every VM keeps a share of one budget for the whole
- * deployment, so the sum stays below it without a message.
+ * A retry budget over a sliding window. Every VM gets a share of one budget for the whole
+ * deployment, so the sum over all VMs stays below it without coordination.
  */
 export interface WindowBudgetOptions {
   readonly clock: Clock;
   readonly windowMs: number;
-  /** Retries for each first attempt in the window. */
+  /** Retries allowed per first attempt in the window. */
   readonly ratio: number;
-  /** Retries in a window beyond that; read anew each time, as the number of VMs changes. */
+  /** Additional retries per window; evaluated on every use, as the number of VMs changes. */
   readonly allowance: () => number;
 }
 
@@ -17,8 +17,8 @@
   /** Counts a first attempt. */
   earn(): void;
   /**
-   * Takes one retry out of the budget; false when there is none left, or when less than
-   * `reservedShare` of the budget would be left for retries that matter more.
+   * Takes one retry out of the budget; false when none is left, or when less than `reservedShare`
+   * of the budget would remain for retries of higher importance.
    */
   spend(reservedShare?: number): boolean;
 }
@@ -29,25 +29,25 @@
   ratio,
   allowance,
 }: WindowBudgetOptions): WindowBudget {
-  const firstsAtMs: number[] = [];
+  const attemptsAtMs: number[] = [];
   const retriesAtMs: number[] = [];
 
-  function dropOld(timesMs: number[]): void {
+  function dropExpired(timesMs: number[]): void {
     const oldestMs = clock.steadyMs() - windowMs;
-    let old = 0;
-    while (old < timesMs.length && (timesMs[old] ?? 0) < oldestMs) old += 1;
-    if (old) timesMs.splice(0, old);
+    let expired = 0;
+    while (expired < timesMs.length && (timesMs[expired] ?? 0) < oldestMs) expired += 1;
+    if (expired) timesMs.splice(0, expired);
   }
 
   return {
     earn() {
-      dropOld(firstsAtMs);
-      firstsAtMs.push(clock.steadyMs());
+      dropExpired(attemptsAtMs);
+      attemptsAtMs.push(clock.steadyMs());
     },
     spend(reservedShare = 0) {
-      dropOld(firstsAtMs);
-      dropOld(retriesAtMs);
-      const budget = (firstsAtMs.length * ratio + allowance()) * (1 - reservedShare);
+      dropExpired(attemptsAtMs);
+      dropExpired(retriesAtMs);
+      const budget = (attemptsAtMs.length * ratio + allowance()) * (1 - reservedShare);
       if (retriesAtMs.length + 1 > budget) return false;
       retriesAtMs.push(clock.steadyMs());
       return true;
