--- a/packages/routing/__tests__/admission.spec.ts
+++ b/packages/routing/__tests__/admission.spec.ts
@@ -29,7 +29,7 @@
     }
   }
 
-  it('lets a small organisation through beside one that floods', () => {
+  it('serves a small organisation while another one floods the queue', () => {
     const queue = new FairQueue();
     const owners = new Map<() => Promise<unknown>, string>();
     enqueue(queue, owners, 'flood', 1000);
@@ -37,7 +37,7 @@
     assert.equal(drain(queue, owners, 6).filter((owner) => owner === 'small').length, 3);
   });
 
-  it('shares by weight', () => {
+  it('shares capacity by weight', () => {
     const queue = new FairQueue();
     const owners = new Map<() => Promise<unknown>, string>();
     enqueue(queue, owners, 'one', 100, 1);
@@ -46,7 +46,7 @@
     assert.ok(served >= 29 && served <= 31, `${served} of 40`);
   });
 
-  it('names whom to turn away: who has most for its weight, or who matters less', () => {
+  it('evicts from the longest lane for its weight, or an item of lower priority', () => {
     const queue = new FairQueue();
     const add = (id: string, organisation: string, weight: number, priority = 5) =>
       queue.enqueue(() => Promise.resolve(id), { id, organisation, weight, priority });
@@ -55,11 +55,19 @@
     assert.equal(queue.findVictim('c', 1, 5), 'b3');
     add('b0', 'b', 1, 9);
     assert.equal(queue.findVictim('c', 1, 5), 'b3', 'the newest of the lowest priority');
-    assert.equal(queue.findVictim('b', 1, 5), undefined, 'the newcomer itself has most');
-    assert.equal(queue.findVictim('b', 1, 7), 'b3', 'it matters more than one of its own');
+    assert.equal(
+      queue.findVictim('b', 1, 5),
+      undefined,
+      'the lane of the new item would be the longest',
+    );
+    assert.equal(
+      queue.findVictim('b', 1, 7),
+      'b3',
+      'it has a higher priority than an item of its own lane',
+    );
   });
 
-  it('puts higher priorities of an organisation first', () => {
+  it('serves higher priorities of an organisation first', () => {
     const queue = new FairQueue();
     const low = () => Promise.resolve();
     const high = () => Promise.resolve();
@@ -68,7 +76,7 @@
     assert.equal(queue.dequeue(), high);
   });
 
-  it('passes over an organisation that has no room, and stays within p-queue', async () => {
+  it('skips an organisation without capacity, and works as a queue class of p-queue', async () => {
     let isBlocked = true;
     const done: string[] = [];
     const queue = new PQueue<FairQueue, FairQueueOptions>({
@@ -86,7 +94,7 @@
     assert.deepEqual(done.slice(2).sort(), ['full', 'last']);
   });
 
-  it('lets go of a request that was given up in the queue', async () => {
+  it('removes an aborted request from the queue', async () => {
     const queue = new PQueue<FairQueue, FairQueueOptions>({
       concurrency: 1,
       queueClass: createFairQueueClass(() => true),
@@ -117,7 +125,7 @@
     { pointer: '/organisations/a', policy: { maxInFlight, maxQueueLength } },
   ];
 
-  it('refuses at once, as not run and with a time, what the queue cannot hold', () => {
+  it('refuses requests beyond the queue length as not run, with a retry-after time', () => {
     const admission = createAdmission();
     admission.admit(branch(1, 1));
     admission.admit(branch(1, 1));
@@ -128,7 +136,7 @@
     );
   });
 
-  it('gives places back once, however often a request ends', () => {
+  it('releases a request once, even if its end is recorded twice', () => {
     const admission = createAdmission();
     const ticket = admission.admit(branch(1, 0));
     ticket.start();
@@ -139,7 +147,7 @@
 });
 
 describe('retry budget', () => {
-  it('allows a share of the traffic, and what was saved up', () => {
+  it('allows a share of the traffic in addition to the accumulated retries', () => {
     const budget = createRetryBudget({ share: 0.1, maxSaved: 2 });
     assert.deepEqual([budget.spend(), budget.spend(), budget.spend()], [true, true, false]);
     for (let requests = 0; requests < 11; requests += 1) budget.earn();
--- a/packages/routing/__tests__/backoffTable.spec.ts
+++ b/packages/routing/__tests__/backoffTable.spec.ts
@@ -9,7 +9,7 @@
 }
 
 describe('the backoff of a server', () => {
-  it('lasts as long as it was asked for, from the word on', () => {
+  it('lasts as long as requested, from the time it is recorded', () => {
     const { clock, backoffs } = createFixture();
     assert.equal(backoffs.record('e1', 3000), true);
     assert.equal(backoffs.remainingMs('e1'), 3000);
@@ -23,7 +23,7 @@
   it('is replaced by a longer one, and not by a shorter one', () => {
     const { clock, backoffs } = createFixture();
     backoffs.record('e1', 1000);
-    assert.equal(backoffs.record('e1', 3000), false, 'it was backing off already');
+    assert.equal(backoffs.record('e1', 3000), false, 'it is backing off already');
     assert.equal(backoffs.remainingMs('e1'), 3000);
     backoffs.record('e1', 500);
     assert.equal(backoffs.remainingMs('e1'), 3000);
@@ -31,7 +31,7 @@
     assert.equal(backoffs.record('e1', 100), true, 'a new one');
   });
 
-  it('is not shortened by a suspension of the VM, nor by a step of the time of day', () => {
+  it('is not shortened by a suspension of the VM or a step of the wall clock', () => {
     const { clock, backoffs } = createFixture();
     backoffs.record('e1', 3000);
     clock.suspend(10_000);
@@ -39,13 +39,13 @@
     assert.equal(backoffs.remainingMs('e1'), 3000);
   });
 
-  it('is followed by requests one after the other for a second, and then by all', () => {
+  it('is followed by a second in which requests are sent one by one', () => {
     const { clock, backoffs } = createFixture();
     backoffs.record('e1', 3000);
     clock.advance(3000);
     backoffs.recordSent('e1');
     assert.equal(backoffs.remainingMs('e1'), 25);
-    assert.equal(backoffs.isBackingOff('e1'), false, 'it is back');
+    assert.equal(backoffs.isBackingOff('e1'), false, 'the backoff itself is over');
     clock.advance(25);
     assert.equal(backoffs.isHeldBack('e1'), false);
     clock.advance(975);
@@ -53,18 +53,22 @@
     assert.equal(backoffs.isHeldBack('e1'), false);
   });
 
-  it('gives those who come back a turn each, and begins anew with the next backoff', () => {
+  it('gives retries consecutive times, and starts again with the next backoff', () => {
     const { clock, backoffs } = createFixture();
     assert.equal(backoffs.retryAfterMs('drafts', 3000), 3000);
     assert.equal(backoffs.retryAfterMs('drafts', 3000), 3025);
-    assert.equal(backoffs.retryAfterMs('looks', 500), 500, 'another service has its own turns');
+    assert.equal(
+      backoffs.retryAfterMs('looks', 500),
+      500,
+      'retries of another service are counted separately',
+    );
     clock.advance(1000);
     assert.equal(backoffs.retryAfterMs('drafts', 2000), 2050);
     clock.advance(2000);
     assert.equal(backoffs.retryAfterMs('drafts', 700), 700);
   });
 
-  it('is forgotten when it is over and its second of return too', () => {
+  it('is removed after its end and the recovery period', () => {
     const { clock, backoffs } = createFixture();
     backoffs.record('e1', 3000);
     backoffs.sweep();
@@ -72,21 +76,21 @@
     clock.advance(3900);
     backoffs.sweep();
     backoffs.recordSent('e1');
-    assert.equal(backoffs.isHeldBack('e1'), true, 'still coming back');
+    assert.equal(backoffs.isHeldBack('e1'), true, 'within the recovery period');
     clock.advance(200);
     backoffs.sweep();
     assert.deepEqual(backoffs.list(), []);
   });
 });
 
-describe('a request before which all servers back off', () => {
+describe('a request while all servers back off', () => {
   const wait = { turnInMs: 400, remainingMs: 2000, waitedMs: 0 };
 
-  it('waits where its turn comes soon', () => {
+  it('waits when its turn comes soon', () => {
     assert.equal(isBackoffWorthWaiting(wait), true);
   });
 
-  it('is refused where half of its time would be over, or 1.2 s since it came', () => {
+  it('is refused when the wait exceeds half of its time, or 1.2 s since its arrival', () => {
     assert.equal(isBackoffWorthWaiting({ ...wait, remainingMs: 790 }), false);
     assert.equal(isBackoffWorthWaiting({ ...wait, waitedMs: 900, remainingMs: 9000 }), false);
     assert.equal(
--- a/packages/routing/__tests__/chainCapacity.spec.ts
+++ b/packages/routing/__tests__/chainCapacity.spec.ts
@@ -12,7 +12,7 @@
 }
 
 describe('the capacity of a chain', () => {
-  it('is that of the engine with least memory for its part', () => {
+  it('is that of the engine with the least free memory for its stage', () => {
     const engines = [createCapacityEngine('a', 4), createCapacityEngine('b', 6)];
     const stages = [createStageEngine('a', 0, 4), createStageEngine('b', 4, 10)];
     const [capacity = 0] = rateCapacities([{ stages }], engines, MODEL);
@@ -21,13 +21,13 @@
     assert.ok(Math.abs(capacity - wanted) < 1e-6, `${capacity} and ${wanted}`);
   });
 
-  it('is no more than the places of its first engine', () => {
+  it('does not exceed the slots of its first engine', () => {
     const engines = [createCapacityEngine('a', 4, 7), createCapacityEngine('b', 6)];
     const stages = [createStageEngine('a', 0, 4), createStageEngine('b', 4, 10)];
     assert.deepEqual(rateCapacities([{ stages }], engines, MODEL), [7]);
   });
 
-  it('counts an engine once that two chains share', () => {
+  it('counts an engine that two chains share only once', () => {
     const engines = ['a', 'b', 'c'].map((id) => createCapacityEngine(id, 5));
     const [first, second] = ['a', 'b'].map((head) => ({
       stages: [createStageEngine(head, 0, 5), createStageEngine('c', 5, 10)],
@@ -39,7 +39,7 @@
     assert.ok((together[1] ?? 0) < 1e-6);
   });
 
-  it('is nothing where a chain runs over an engine that nobody knows', () => {
+  it('is 0 for a chain with an unknown engine', () => {
     const stages = [createStageEngine('a', 0, 10)];
     assert.deepEqual(rateCapacities([{ stages }], [], MODEL), [0]);
   });
--- a/packages/routing/__tests__/chainLayout.spec.ts
+++ b/packages/routing/__tests__/chainLayout.spec.ts
@@ -8,7 +8,7 @@
 
 const MODEL = createModel();
 const KINDS = ['large', 'medium', ...repeat('small', 5), ...repeat('tiny', 7)];
-/** Requests in flight at which layouts are compared: about half of what a chain holds. */
+/** Requests in flight at which layouts are compared: about half of the capacity of a chain. */
 const IN_FLIGHT = 50;
 
 function toParts(
@@ -33,14 +33,14 @@
 }
 
 describe('the layout of a data centre with few fast engines and many slow ones', () => {
-  /** Layers of like memory on every engine, as many requests as possible at once. */
+  /** Distributes the layers in proportion to memory, which maximises concurrent requests. */
   function spreadEvenly(kinds: readonly string[]): readonly ChainPart[] {
     const described = kinds.flatMap((name) => MODEL.kinds.find((kind) => kind.name === name) ?? []);
     const totalMb = described.reduce((sum, { memoryMb }) => sum + memoryMb, 0);
     return described.map((kind) => ({ ...kind, layers: (MODEL.layers * kind.memoryMb) / totalMb }));
   }
 
-  it('writes answers in three quarters of the time that layers on all of them take', () => {
+  it('decodes answers in three quarters of the time of an even distribution', () => {
     const kinds = [...repeat('large', 3), ...repeat('small', 8)];
     const engines = createEngines(kinds);
     const planned = toParts(engines, planPlacement(engines, MODEL));
@@ -54,7 +54,7 @@
   const engines = createEngines(KINDS);
   const orders = planPlacement(engines, MODEL);
 
-  it('gives the fastest engines the first layers, and every layer to somebody', () => {
+  it('gives the fastest engine the first layers and places every layer', () => {
     const first = orders.find(({ firstLayer }) => firstLayer === 0);
     assert.equal(first?.id, engines[0]?.id);
     for (let layer = 0; layer < MODEL.layers; layer += 1) {
@@ -62,13 +62,13 @@
     }
   });
 
-  it('puts second copies on the engines that are left over', () => {
+  it('places second copies on the remaining engines', () => {
     const copied = Array.from({ length: MODEL.layers }, (_, layer) => countCopies(orders, layer));
     assert.ok(copied.some((count) => count > 1));
     assert.equal(new Set(orders.map(({ id }) => id)).size, engines.length);
   });
 
-  it('gives an engine that comes back the layers that it runs faster than those that hold them', () => {
+  it('gives a returning engine the layers that it runs faster than their current holders', () => {
     const held = engines.map((engine): PlacedEngine => {
       const order = orders.find(({ id }) => id === engine.id);
       return { ...engine, firstLayer: order?.firstLayer ?? 0, endLayer: order?.endLayer ?? 0 };
@@ -92,7 +92,7 @@
     { layers: 40, stepFactor: 16, readFactor: 8.2 },
   ];
 
-  it('falls with the requests in flight, while the throughput rises', () => {
+  it('decreases with the requests in flight while the throughput increases', () => {
     const few = estimateChainSpeed(PARTS, 10, MODEL);
     const many = estimateChainSpeed(PARTS, 100, MODEL);
     assert.ok(many.answerMs > few.answerMs);
--- a/packages/routing/__tests__/crashJudgement.spec.ts
+++ b/packages/routing/__tests__/crashJudgement.spec.ts
@@ -12,22 +12,22 @@
   return instanceIds.map((instanceId) => ({ content, instanceId, ranMs: 0, evidence: 'attempt' }));
 }
 
-/** Ends of servers s1, s2, ... under one content. */
+/** Crashes of the given servers with one content. */
 function createEnds(content: string, instanceIds: readonly string[], ranMs = 100) {
   return instanceIds.map((instanceId) => createEnd(content, instanceId, ranMs));
 }
 
-describe('a content under which servers end', () => {
-  it('is run again after two ends, and not after three', () => {
+describe('a content that servers crash with', () => {
+  it('is quarantined after three crashes, but not after two', () => {
     assert.deepEqual([...judgeCrashes(createEnds('a', ['s1', 's2']))], []);
     assert.deepEqual([...judgeCrashes(createEnds('a', ['s1', 's2', 's3']))], ['a']);
   });
 
-  it('is held responsible once for the end of one run, however many copies were on it', () => {
+  it('counts the crash of one incarnation once, even with several copies on it', () => {
     assert.deepEqual([...judgeCrashes(createEnds('a', ['s1', 's1', 's2', 's2']))], []);
   });
 
-  it('clears those that were beside it, also one that was there three times', () => {
+  it('clears other contents on the same servers, even with three crashes', () => {
     const ends = [
       ...createEnds('deadly', ['s1', 's2', 's3', 's4', 's5']),
       ...createEnds('unlucky', ['s1', 's3', 's5']),
@@ -35,13 +35,13 @@
     assert.deepEqual([...judgeCrashes(ends)], ['deadly']);
   });
 
-  it('is told from one that shares all its ends by how soon the servers ended', () => {
+  it('is identified by the shorter run time among contents with the same crashes', () => {
     const ids = ['s1', 's2', 's3'];
     const ends = [...createEnds('unlucky', ids, 900), ...createEnds('deadly', ids, 80)];
     assert.deepEqual([...judgeCrashes(ends)], ['deadly']);
   });
 
-  it('is found beside another one that ends servers of its own', () => {
+  it('is identified independently of another content that crashes other servers', () => {
     const ends = [
       ...createEnds('a', ['s1', 's2', 's3']),
       ...createEnds('b', ['s3', 's4', 's5', 's6']),
@@ -51,19 +51,19 @@
     assert.deepEqual([...judgeCrashes(more)].sort(), ['a', 'b']);
   });
 
-  it('is run no more after two ends and one under an attempt of which no more is known', () => {
+  it('is quarantined after two crashes while running and one during an attempt', () => {
     const ends = createEnds('a', ['s1', 's2']);
     assert.deepEqual([...judgeCrashes([...ends, ...createAttempts('a', ['s2'])])], []);
     assert.deepEqual([...judgeCrashes([...ends, ...createAttempts('a', ['s3'])])], ['a']);
   });
 
-  it('is not convicted by attempts, however many', () => {
+  it('is not quarantined because of attempts alone', () => {
     const attempts = createAttempts('a', ['s1', 's2', 's3', 's4', 's5']);
     assert.deepEqual([...judgeCrashes(attempts)], []);
     assert.deepEqual([...judgeCrashes([...attempts, createEnd('a', 's1')])], []);
   });
 
-  it('goes before one with more ends, most of them under attempts', () => {
+  it('ranks before a content with more crashes, most of them during attempts', () => {
     const ends = [
       ...createEnds('deadly', ['s1', 's2', 's3']),
       ...createEnds('unlucky', ['s1', 's2']),
@@ -72,7 +72,7 @@
     assert.deepEqual([...judgeCrashes(ends)], ['deadly']);
   });
 
-  it('is judged alike in whatever order the ends are received', () => {
+  it('is identified regardless of the order in which crashes are received', () => {
     const ends = [
       ...createEnds('deadly', ['s1', 's2', 's3', 's4']),
       ...createEnds('unlucky', ['s1', 's2', 's3']),
@@ -88,10 +88,10 @@
     }
   });
 
-  it('is not taken for guilty on days on which servers end for other reasons', () => {
-    // Of some 300 requests that began while 15 engines ended within 13 s, two were there at an end
-    // before their first event. Such a request is run four times at most: each of two tries of
-    // its caller is sent on once. 1,000 days with 300 such starts each.
+  it('is not quarantined when servers are lost for other reasons', () => {
+    // Of about 300 requests that started while 15 engines were lost within 13 s, two were on a lost
+    // engine before their first event. Such a request runs four times at most, as each of the two
+    // attempts of its caller is retried once. The test simulates 1,000 days with 300 starts each.
     const random = createSeededRandom(11);
     const oneInChance = 150;
     const maxRuns = 4;
--- a/packages/routing/__tests__/fixtures.ts
+++ b/packages/routing/__tests__/fixtures.ts
@@ -1,4 +1,4 @@
-/** A model of the size that the sites run, and engines for it. */
+/** A model of production size, and engines for it. */
 import type { PlacedEngine } from '../src/placement';
 import type { ModelDescription } from '../src/routingDocument';
 import type { StageEngine } from '../src/stagePath';
--- a/packages/routing/__tests__/namedLimitTable.spec.ts
+++ b/packages/routing/__tests__/namedLimitTable.spec.ts
@@ -13,9 +13,9 @@
   return { clock, vms };
 }
 
-describe('what a VM may send by itself to a server that named a limit', () => {
+describe('the own quota of a VM for a server with a rate limit', () => {
   for (const count of [2, 11, 78, 300]) {
-    it(`is a seventh of the limit over all ${count} VMs, from the first moment on`, () => {
+    it(`adds up to about a seventh of the limit over ${count} VMs from the start`, () => {
       const { clock, vms } = createVms(count);
       vms.forEach((limits) => limits.name('s1', 20));
       let sent = 0;
@@ -23,7 +23,7 @@
         clock.advance(20);
         sent += vms.filter((limits) => limits.takeOwnPermit('s1')).length;
       }
-      // Phases are drawn, so three deviations more may come.
+      // The initial fill is random, so a tolerance of three standard deviations is added.
       const mean = 20 * 4 * 0.15;
       const allowed = mean + 3 * Math.sqrt(mean);
       assert.ok(sent <= allowed, `${sent} of ${allowed}`);
@@ -31,7 +31,7 @@
     });
   }
 
-  it('is not saved up while the account is there', () => {
+  it('does not accumulate while the account is reachable', () => {
     const { clock, vms } = createVms(300);
     vms.forEach((limits) => limits.name('s1', 20));
     clock.advance(3_000_000);
@@ -39,26 +39,26 @@
     assert.equal(sent, 0);
   });
 
-  it('is not bounded where nothing was named', () => {
+  it('is unlimited for a server that announced no limit', () => {
     const { vms } = createVms(1);
     assert.equal(vms[0]?.takeOwnPermit('s1'), true);
     assert.equal(vms[0]?.hasOwnPermit('s1'), true);
   });
 
-  it('is bounded until the account says otherwise, and anew by the next word', () => {
+  it('is limited until the account ends the limit, and again after the next announcement', () => {
     const { clock, vms } = createVms(1);
     const [limits] = vms;
     assert.equal(limits?.name('s1', 3), null);
     assert.equal(limits?.name('s1', 4), 3);
     clock.advance(100);
-    assert.equal(limits?.end('s1', 200), false, 'named after it was asked');
+    assert.equal(limits?.end('s1', 200), false, 'announced after the account was asked');
     assert.equal(limits?.perSOf('s1'), 4);
     assert.equal(limits?.end('s1', 50), true);
     assert.equal(limits?.perSOf('s1'), null);
     assert.equal(limits?.end('s1', 50), false);
   });
 
-  it('is forgotten after a minute without a word', () => {
+  it('is removed after a minute without an announcement', () => {
     const { clock, vms } = createVms(1);
     vms[0]?.name('s1', 3);
     clock.advance(61_000);
@@ -67,8 +67,8 @@
   });
 });
 
-describe('the turns of callers that only a limit holds back', () => {
-  it('come one after the other, behind those that wait already', () => {
+describe('the retry turns of callers of a rate-limited service', () => {
+  it('are consecutive and follow the requests that are queued already', () => {
     const clock = createManualClock(100_000);
     const turns = createRetryTurns({ clock });
     const given = [0, 1, 2].map(() => turns.nextInMs('app', 4, 3));
@@ -78,7 +78,7 @@
     assert.equal(turns.nextInMs('app', 4, 0), 250);
   });
 
-  it('lie ten seconds ahead at most', () => {
+  it('are at most ten seconds ahead', () => {
     const turns = createRetryTurns({ clock: createManualClock(100_000) });
     const given = Array.from({ length: 50 }, () => turns.nextInMs('app', 1, 0));
     assert.equal(Math.max(...given), 10_000);
--- a/packages/routing/__tests__/permitAccount.spec.ts
+++ b/packages/routing/__tests__/permitAccount.spec.ts
@@ -7,7 +7,7 @@
   const clock = createManualClock(100_000);
   const state = { isOwner: true, askers: 11, vms: 11 };
   const account = createPermitAccount({ clock, shareOf: () => lentShare(state) });
-  /** Takes every permit that comes for a time, and counts them. */
+  /** Takes every permit that is granted within a period and returns their number. */
   function drain(durationMs: number, id = 's1'): number {
     let taken = 0;
     for (let passedMs = 0; passedMs < durationMs; passedMs += 10) {
@@ -16,7 +16,7 @@
     }
     return taken;
   }
-  /** Answers without a limit to requests that were sent just now, so many apart. */
+  /** Records answers without a limit to current requests, `gapMs` apart. */
   function answerUnnamed(count: number, gapMs: number): readonly boolean[] {
     return Array.from({ length: count }, () => {
       clock.advance(gapMs);
@@ -27,14 +27,14 @@
 }
 
 describe('the account of permits', () => {
-  it('bounds no server that named nothing', () => {
+  it('does not limit a server that announced no rate', () => {
     const { account } = createAccount();
     assert.equal(account.perSOf('s1'), null);
     assert.equal(account.ratePerS('s1'), Number.POSITIVE_INFINITY);
     for (let count = 0; count < 100; count += 1) assert.equal(account.take('s1'), true);
   });
 
-  it('gives out nineteen twentieths of a rate, and nothing at once', () => {
+  it('grants nineteen twentieths of a rate, starting without a burst', () => {
     const { account, drain } = createAccount();
     assert.equal(account.name('s1', 10, 0), 'begun');
     assert.equal(account.hasPermit('s1'), false);
@@ -42,7 +42,7 @@
     assert.ok(given === 94 || given === 95, `${given}`);
   });
 
-  it('gives out three tenths while another VM may give out permits too', () => {
+  it('grants three tenths while another VM may grant permits too', () => {
     const { account, state, drain } = createAccount();
     state.isOwner = false;
     account.name('s1', 10, 0);
@@ -50,14 +50,14 @@
     assert.ok(given === 29 || given === 30, `${given}`);
   });
 
-  it('gives out a part of that by the VMs that ask a stand-in', () => {
+  it('grants, as a stand-in, a share proportional to the VMs that ask it', () => {
     const parts = [1, 4, 6].map((askers) => lentShare({ isOwner: false, askers, vms: 11 }));
     const sum = parts.reduce((all, part) => all + part, 0);
     assert.ok(Math.abs(sum - 0.3) < 1e-9, `${sum}`);
     assert.ok(lentShare({ isOwner: false, askers: 20, vms: 11 }) <= 0.3);
   });
 
-  it('goes by the newest word, whichever comes first', () => {
+  it('uses the newest announcement, regardless of the order of arrival', () => {
     const { account, clock } = createAccount();
     account.name('s1', 10, 0);
     clock.advance(1000);
@@ -67,7 +67,7 @@
     assert.equal(account.name('s1', 5, 100), 'repeated');
   });
 
-  it('ends a limit by three later answers that do not name it, a second after it was named', () => {
+  it('ends a limit after three later answers without it and at least one second', () => {
     const { account, answerUnnamed } = createAccount();
     account.name('s1', 10, 0);
     assert.deepEqual(answerUnnamed(3, 200), [false, false, false], 'too early');
@@ -75,13 +75,13 @@
     assert.equal(account.perSOf('s1'), null);
   });
 
-  it('ends one by two such answers where these come seldom', () => {
+  it('ends a limit after two such answers when they are rare', () => {
     const { account, answerUnnamed } = createAccount();
     account.name('s1', 0.5, 0);
     assert.deepEqual(answerUnnamed(2, 2100), [false, true]);
   });
 
-  it('counts anew whenever it is named', () => {
+  it('restarts the count of such answers with every announcement', () => {
     const { account, answerUnnamed } = createAccount();
     account.name('s1', 10, 0);
     for (let count = 0; count < 20; count += 1) {
@@ -90,7 +90,7 @@
     }
   });
 
-  it('takes no answer to an earlier request for its end', () => {
+  it('does not end a limit because of answers to earlier requests', () => {
     const { account, clock } = createAccount();
     account.name('s1', 10, 0);
     clock.advance(5000);
@@ -98,7 +98,7 @@
     assert.ok(!ends.includes(true));
   });
 
-  it('takes no earlier word for a new limit', () => {
+  it('does not start an ended limit again because of an earlier announcement', () => {
     const { account, clock, answerUnnamed } = createAccount();
     account.name('s1', 10, 0);
     answerUnnamed(3, 400);
@@ -108,7 +108,7 @@
     assert.equal(account.name('s1', 10, 0), 'begun');
   });
 
-  it('comes back to the full rate within a second, and not at once', () => {
+  it('ramps up to the full rate within a second after the end of a limit', () => {
     const { account, clock, answerUnnamed } = createAccount();
     account.name('s1', 4, 0);
     answerUnnamed(3, 400);
@@ -121,14 +121,14 @@
     assert.deepEqual(account.list(), []);
   });
 
-  it('asks a server that takes nothing once in four seconds whether it still does', () => {
+  it('probes a server that accepts nothing every four seconds', () => {
     const { account, drain } = createAccount();
     account.name('s1', 0, 0);
     const asked = drain(40_000);
     assert.ok(asked >= 8 && asked <= 10, `${asked}`);
   });
 
-  it('forgets a limit that nobody heard named for a minute', () => {
+  it('removes a limit that was not announced for a minute', () => {
     const { account, clock } = createAccount();
     account.name('s1', 10, 0);
     clock.advance(59_000);
@@ -139,7 +139,7 @@
     assert.equal(account.perSOf('s1'), null);
   });
 
-  it('gives a permit that was not used to the next one', () => {
+  it('grants a returned permit again', () => {
     const { account, clock } = createAccount();
     account.name('s1', 1, 0);
     clock.advance(1100);
@@ -149,7 +149,7 @@
     assert.equal(account.take('s1'), true);
   });
 
-  it('keeps a limit however often it changes', () => {
+  it('keeps to a limit that changes often', () => {
     const { account, clock } = createAccount();
     let taken = 0;
     for (let passedMs = 0; passedMs < 10_000; passedMs += 10) {
--- a/packages/routing/__tests__/placement.spec.ts
+++ b/packages/routing/__tests__/placement.spec.ts
@@ -46,13 +46,13 @@
 
 describe('placement', () => {
   [MIXED, SMALL].forEach((kinds) => {
-    it(`holds every layer on ${kinds.length} unlike engines, with room for requests`, () => {
+    it(`places every layer on ${kinds.length} heterogeneous engines and leaves memory for requests`, () => {
       const placed = layOut(kinds);
       assert.deepEqual(findMissing(placed), []);
       assertFits(placed);
     });
 
-    it(`brings every layer back after the loss of any of ${kinds.length} engines`, () => {
+    it(`restores every layer after the loss of any of ${kinds.length} engines`, () => {
       const placed = layOut(kinds);
       placed.forEach((lost) => {
         const left = placed.filter(({ id }) => id !== lost.id);
@@ -63,26 +63,26 @@
     });
   });
 
-  it('gives no order when nothing is missing and no engine is empty', () => {
+  it('gives no order when no layer is missing and no engine is empty', () => {
     const placed = layOut(SMALL);
     assert.deepEqual(planPlacement(placed, MODEL), []);
   });
 
-  it('moves only engines beside a small hole', () => {
+  it('moves only engines near a small hole', () => {
     const placed = layOut(SMALL);
     const lost = placed.find(({ acceleratorKind }) => acceleratorKind === 'tiny');
     const left = placed.filter(({ id }) => id !== lost?.id);
     assert.ok(planPlacement(left, MODEL).length <= left.length / 2);
   });
 
-  it('never orders an engine whose order is under way', () => {
+  it('never orders an engine whose order is in progress', () => {
     const placed = layOut(SMALL).map((engine, index) => ({ ...engine, isOrderable: index > 2 }));
     const left = placed.filter((_, index) => index !== 5);
     const busy = new Set(placed.slice(0, 3).map(({ id }) => id));
     assert.ok(planPlacement(left, MODEL).every(({ id }) => !busy.has(id)));
   });
 
-  it('gives an empty engine the part of the chain that has least room', () => {
+  it('gives an order only to a new empty engine when no layer is missing', () => {
     const placed = layOut(SMALL);
     const left = placed.filter((_, index) => index !== 3);
     const repaired = carryOut(left, planPlacement(left, MODEL));
@@ -95,7 +95,7 @@
     );
   });
 
-  it('takes no layer away from anybody while a slow engine still serves what is missing', () => {
+  it('keeps the last copy of every layer while a slow engine still serves the missing ones', () => {
     const sites = [
       MIXED,
       SMALL,
@@ -123,7 +123,7 @@
     });
   });
 
-  it('has engines give up layers at once only where one is missing altogether', () => {
+  it('preempts requests only when no engine serves some layer', () => {
     const placed = layOut(SMALL);
     const lost = placed.find(({ acceleratorKind }) => acceleratorKind === 'medium');
     const leaving = placed.map((engine) =>
@@ -135,11 +135,11 @@
     assert.ok(planPlacement(leaving, MODEL).every(({ isPreempting }) => !isPreempting));
   });
 
-  it('orders nothing where the memory cannot hold the model', () => {
+  it('gives no order when the memory cannot hold the model', () => {
     assert.deepEqual(planPlacement(createEngines(['large', 'tiny']), MODEL), []);
   });
 
-  it('keeps data centres apart', () => {
+  it('plans each data centre separately', () => {
     const engines = [...createEngines(SMALL, 'a'), ...createEngines(SMALL, 'b')];
     const placed = carryOut(engines, planPlacement(engines, MODEL));
     ['a', 'b'].forEach((dataCentre) => {
--- a/packages/routing/__tests__/queueOrder.spec.ts
+++ b/packages/routing/__tests__/queueOrder.spec.ts
@@ -20,31 +20,32 @@
 const RETURNED = createQueued({ inTimeUntilMs: NOW_MS - 2000, isRetry: true });
 const isFirst = (a: QueuedRequest, b: QueuedRequest) => compareQueued(a, b, NOW_MS) < 0;
 
-describe('who gets the next slot', () => {
-  it('is one that can still be in time before one that cannot', () => {
+describe('the next slot', () => {
+  it('goes to a request that can still be in time before one that cannot', () => {
     assert.ok(isFirst(createQueued(), LATE));
     assert.ok(isFirst(createQueued(), RETURNED));
   });
 
-  it('is one that came back before one that can still do so', () => {
+  it('goes to a late retry before a late first attempt', () => {
     assert.ok(isFirst(RETURNED, LATE));
   });
 
-  it('is one that came back and is about to leave before everybody', () => {
+  it('goes first to a retry that is about to leave the queue', () => {
     const leaving = createQueued({ ...RETURNED, leavesAtMs: NOW_MS + 200 });
     assert.ok(isFirst(leaving, createQueued()));
   });
 
-  it('is the one with the least time left among those that can be in time', () => {
+  it('goes to the request with the least time left among those that can be in time', () => {
     assert.ok(isFirst(createQueued({ inTimeUntilMs: NOW_MS + 100 }), createQueued()));
   });
 
-  it('is the more urgent one whatever else', () => {
+  it('goes to the request of higher priority regardless of its class', () => {
     assert.ok(isFirst(createQueued({ ...LATE, priority: 0 }), createQueued()));
   });
 
-  it('keeps callers in time while more of them come than there are slots', () => {
-    // 90 requests a second for three seconds, 60 slots: replayed against the order of arrival.
+  it('keeps more callers in time than arrival order when slots are scarce', () => {
+    // Simulates 90 requests per second for three seconds with 60 slots per second, and compares the
+    // result with the order of arrival.
     const simulate = (order: (a: QueuedRequest, b: QueuedRequest, nowMs: number) => number) => {
       let queue: QueuedRequest[] = [];
       let inTime = 0;
@@ -69,16 +70,16 @@
 });
 
 describe('a wait', () => {
-  it('is hopeless when those ahead take longer than what is left', () => {
+  it('is hopeless when the requests ahead take longer than the remaining time', () => {
     assert.equal(isHopeless({ ahead: 11, slotsPerS: 10, remainingMs: 1000 }), true);
     assert.equal(isHopeless({ ahead: 8, slotsPerS: 10, remainingMs: 1000 }), false);
   });
 
-  it('is never hopeless while nothing is known of slots: a chain may come back', () => {
+  it('is never hopeless without a known slot rate, as a chain may come back', () => {
     assert.equal(isHopeless({ ahead: 30, slotsPerS: 0, remainingMs: 1000 }), false);
   });
 
-  it('is hopeless by a limit however low that is, as a limit is certain', () => {
+  it('is judged by a rate limit however low it is, as a limit is known exactly', () => {
     const forecast = { ahead: 0, slotsPerS: 0, remainingMs: 1000 };
     assert.equal(isHopeless({ ...forecast, limitedPerS: 0.5 }), true);
     assert.equal(isHopeless({ ...forecast, limitedPerS: 2 }), false);
--- a/packages/routing/__tests__/retryDelays.spec.ts
+++ b/packages/routing/__tests__/retryDelays.spec.ts
@@ -12,8 +12,8 @@
 
 const drawMany = (draw: () => number) => Array.from({ length: 200 }, draw);
 
-describe('the time to come back', () => {
-  it('grows with the time for which everything has been full', () => {
+describe('the retry-after time', () => {
+  it('increases with the duration of the overload', () => {
     const { clock, delays } = createDelays();
     delays.recordFull();
     const early = Math.max(...drawMany(() => delays.afterMs(REMAINING_MS)));
@@ -22,7 +22,7 @@
     assert.ok(late > early, `${late} and ${early}`);
   });
 
-  it('spreads those who are turned away together over at least its own mean', () => {
+  it('is spread over about its mean for callers refused at the same time', () => {
     const { clock, delays } = createDelays();
     delays.recordFull();
     clock.advance(2000);
@@ -30,7 +30,7 @@
     assert.ok(Math.max(...drawn) - Math.min(...drawn) > 1900);
   });
 
-  it('is short again after a second with room', () => {
+  it('is short again after a second with free capacity', () => {
     const { clock, delays } = createDelays();
     delays.recordFull();
     clock.advance(4000);
@@ -41,7 +41,7 @@
     assert.ok(Math.max(...drawMany(() => delays.afterMs(REMAINING_MS))) <= 1500);
   });
 
-  it('never goes beyond a third of what the caller has left', () => {
+  it('never exceeds a third of the remaining time of the caller', () => {
     const { delays } = createDelays();
     assert.ok(drawMany(() => delays.afterMs(600)).every((ms) => ms <= 200));
   });
--- a/packages/routing/__tests__/routing.spec.ts
+++ b/packages/routing/__tests__/routing.spec.ts
@@ -48,7 +48,7 @@
 }
 
 describe('selection of a chain', () => {
-  it('covers every layer once, in order, by the quickest engines', () => {
+  it('covers every layer once, in order, with the fastest engines', () => {
     const engines = [
       engine('b-slow', 5, 9, { stepBaseMs: 50 }),
       engine('a', 0, 4),
@@ -62,7 +62,7 @@
     );
   });
 
-  it('finds none when a layer is missing, and none that overlaps', () => {
+  it('finds none when a layer is missing or ranges overlap', () => {
     const engines = [engine('a', 0, 4), engine('b', 6, 9), engine('c', 4, 9)];
     assert.equal(selectChain(engines, chainRequest(), createBackendLoadTable()), undefined);
   });
@@ -74,7 +74,7 @@
     assert.equal(selectChain(more, chainRequest(), createBackendLoadTable())?.version, 'v1');
   });
 
-  it('counts a slow link, and goes another way round it', () => {
+  it('includes the cost of a slow link and avoids it', () => {
     const links = [{ to: 'b', delayMs: 100, bytesPerS: 1e9 }];
     const engines = [
       engine('a', 0, 4, { links }),
@@ -88,7 +88,7 @@
     );
   });
 
-  it('spreads sessions over equal chains by what this VM has sent itself', () => {
+  it('balances sessions over equal chains by the requests that this VM has started', () => {
     const engines = [engine('a1', 0, 9), engine('a2', 0, 9)];
     const loads = createBackendLoadTable();
     const counts = new Map<string, number>();
@@ -103,7 +103,7 @@
 });
 
 describe('load of a backend server', () => {
-  it('is the last report, corrected by what was sent and finished since', () => {
+  it('is the last report, corrected by requests started and finished since', () => {
     const loads = createBackendLoadTable();
     loads.start('s');
     loads.report(server('s', { load: { running: 4, queued: 1 } }));
@@ -114,7 +114,7 @@
     assert.equal(loads.estimate('s'), 4);
   });
 
-  it('leaves out one that keeps failing, but never more than half of them', () => {
+  it('ejects a server that keeps failing, but never more than half of them', () => {
     const loads = createBackendLoadTable();
     const fail = (name: string) => {
       for (let times = 0; times < 3; times += 1) {
@@ -128,12 +128,12 @@
       loads.withoutEjected(all, 1).map(({ name }) => name),
       ['b', 'c'],
     );
-    assert.equal(loads.withoutEjected(all, 6000).length, 3, 'it is tried again after a while');
+    assert.equal(loads.withoutEjected(all, 6000).length, 3, 'the ejection ends after a while');
     fail('b');
     assert.equal(loads.withoutEjected(all, 1).length, 3);
   });
 
-  it('forgives failures of an earlier incarnation', () => {
+  it('ignores failures of an earlier incarnation', () => {
     const loads = createBackendLoadTable();
     for (let times = 0; times < 3; times += 1)
       loads.finish('a', { isFailure: true, durationMs: 1, nowMs: 0 });
@@ -171,7 +171,7 @@
     }
   });
 
-  it('goes nowhere twice for one request, and nowhere that does not serve it', () => {
+  it('selects no server twice for one request, and none that does not serve it', () => {
     const request = { service: 'bookings', dataCentre: 'dc1', excluded: new Set(['a']), nowMs: 0 };
     const candidates = [server('a'), server('b', { services: ['other'] })];
     assert.equal(
@@ -199,11 +199,11 @@
   });
   const good = [mark('a', 0, 4), mark('b', 5, 9)];
 
-  it('is sound when every layer ran once, in order, at the next position', () => {
+  it('is valid when every layer ran once, in order, at the next position', () => {
     assert.equal(findLineageProblem(token(3, good), 3, stages, 10), null);
   });
 
-  it('names what is wrong with it', () => {
+  it('reports the kind of problem', () => {
     const cases: readonly [TokenEvent, string][] = [
       [token(4, good), 'position-gap'],
       [token(2, good), 'position-repeat'],
--- a/packages/routing/__tests__/routingDocument.spec.ts
+++ b/packages/routing/__tests__/routingDocument.spec.ts
@@ -37,7 +37,7 @@
 }
 
 describe('a routing document', () => {
-  it('is fit when everything it names exists', () => {
+  it('is valid when everything it refers to exists', () => {
     assert.deepEqual(collectDocumentFindings(createDocument()), []);
   });
 
@@ -45,7 +45,9 @@
     'a route to an unknown service': {
       routes: [createRoute({ targets: [{ service: 'lost', weight: 1 }] })],
     },
-    'two routes at one place': { routes: [createRoute(), createRoute({ name: 'r2' })] },
+    'two routes with the same host and path': {
+      routes: [createRoute(), createRoute({ name: 'r2' })],
+    },
     'weights that add up to 0': {
       routes: [createRoute({ targets: [{ service: 'drafts', weight: 0 }] })],
     },
@@ -58,7 +60,7 @@
     },
   };
   Object.entries(unfit).forEach(([name, overrides]) => {
-    it(`is refused for ${name}`, () => {
+    it(`is rejected for ${name}`, () => {
       assert.equal(collectDocumentFindings(createDocument(overrides)).length, 1);
     });
   });
@@ -80,7 +82,7 @@
     assert.equal(table.findRoute('a.example', '/quotesx/'), undefined);
   });
 
-  it('never draws a target of weight 0', () => {
+  it('never selects a target of weight 0', () => {
     const random = createSeededRandom(1);
     const targets = [
       { service: 'none', weight: 0 },
@@ -94,7 +96,7 @@
 });
 
 describe('a retry budget over a window', () => {
-  it('allows the ratio and the allowance, and no more until the window has passed', () => {
+  it('allows the ratio plus the allowance until the window has passed', () => {
     const clock = createManualClock();
     const budget = createWindowBudget({
       clock,
@@ -114,7 +116,7 @@
     );
   });
 
-  it('keeps a share for what matters more', () => {
+  it('reserves a share for retries of higher importance', () => {
     const clock = createManualClock();
     const budget = createWindowBudget({ clock, windowMs: 1000, ratio: 0, allowance: () => 10 });
     const spendAll = (reservedShare: number) =>
--- a/packages/routing/__tests__/slotLedger.spec.ts
+++ b/packages/routing/__tests__/slotLedger.spec.ts
@@ -11,8 +11,8 @@
   return { clock, ledger, slot };
 }
 
-describe('the account of slots', () => {
-  it('counts a slot from the moment it is given out', () => {
+describe('the slot ledger', () => {
+  it('counts a slot as soon as it is granted', () => {
     const { ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
     ledger.grant('vm2', slot('r1', 2.5));
@@ -20,7 +20,7 @@
     assert.equal(ledger.heldOn('other'), 0);
   });
 
-  it('frees what a holder no longer lists', () => {
+  it('frees a slot that its holder no longer lists', () => {
     const { ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
     ledger.grant('vm1', slot('r2'));
@@ -29,7 +29,7 @@
     assert.equal(ledger.heldOn('h'), 1);
   });
 
-  it('keeps a slot that was given out while an older list was on its way', () => {
+  it('keeps a slot that was granted while an older report was in transit', () => {
     const { clock, ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
     clock.advance(5);
@@ -37,7 +37,7 @@
     assert.equal(ledger.heldOn('h'), 1);
   });
 
-  it('frees a slot whose answer was lost', () => {
+  it('frees a slot when the answer with its grant was lost', () => {
     const { clock, ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
     clock.advance(501);
@@ -46,7 +46,7 @@
     assert.equal(ledger.heldOn('h'), 0);
   });
 
-  it('frees a slot at once that its holder gives up', () => {
+  it('frees a slot immediately when its holder releases it', () => {
     const { ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
     ledger.giveUp('vm1', 'r1');
@@ -55,14 +55,14 @@
     assert.equal(ledger.heldOn('h'), 0);
   });
 
-  it('believes the newest list, whichever arrives last', () => {
+  it('uses the newest report, regardless of the order of arrival', () => {
     const { ledger, slot } = createFixture();
     ledger.report('vm1', { sequence: 2, slots: [] });
     ledger.report('vm1', { sequence: 1, slots: [slot('r1')] });
     assert.equal(ledger.heldOn('h'), 0);
   });
 
-  it('learns what was held before it was asked, from the first list', () => {
+  it('learns earlier slots from the first report of a holder', () => {
     const { ledger, slot } = createFixture();
     ledger.report('vm1', { sequence: 9, slots: [slot('r1'), slot('r2')] });
     ledger.report('vm2', { sequence: 3, slots: [slot('r1')] });
@@ -70,7 +70,7 @@
     assert.equal(ledger.holders, 2);
   });
 
-  it('frees what sixty holders had that are all gone, once their leases have run out', () => {
+  it('frees the slots of sixty lost holders when their leases expire', () => {
     const { clock, ledger, slot } = createFixture();
     for (let vm = 0; vm < 60; vm += 1) {
       ledger.report(`vm${vm}`, { sequence: 1, slots: [slot('r1')] });
--- a/packages/routing/__tests__/stageChains.spec.ts
+++ b/packages/routing/__tests__/stageChains.spec.ts
@@ -11,7 +11,7 @@
   findStageChains(engines, { layers: 10 }).map(({ stages }) => stages.map(({ id }) => id));
 
 describe('chains of a data centre', () => {
-  it('are those in which engines follow each other exactly, though a mixed one were faster', () => {
+  it('consist of exactly adjacent engines, even if a mixed chain is faster', () => {
     const engines = [
       createStageEngine('a1', 0, 4, 0.2),
       createStageEngine('a2', 4, 10, 0.02),
@@ -26,7 +26,7 @@
     );
   });
 
-  it('lend each other an engine where one was lost', () => {
+  it('share an engine when one was lost', () => {
     const engines = [
       createStageEngine('a1', 0, 5),
       createStageEngine('a2', 5, 10),
@@ -37,14 +37,14 @@
     assert.equal(countChainsByEngine(chains).get('a2'), 2);
   });
 
-  it('do not come about of an engine that holds a small part of the layers once more', () => {
+  it('do not include an additional chain for an engine with few redundant layers', () => {
     assert.deepEqual(
       namesOf([createStageEngine('a1', 0, 10), createStageEngine('b1', 0, 2)]).length,
       1,
     );
   });
 
-  it('run every layer once, whatever engines there are, and do not depend on their order', () => {
+  it('run every layer once for any set of engines and do not depend on their order', () => {
     const engine = fc.record({
       first: fc.integer({ min: 0, max: 9 }),
       length: fc.integer({ min: 1, max: 10 }),
@@ -99,16 +99,16 @@
     ...repeat('tiny', 18),
   ]);
 
-  it('is one where the memory holds one, and two where two hold more requests', () => {
+  it('is one for the memory of one, and two when two hold more requests', () => {
     assert.equal(planChainCount(SMALL_SITE, createModel()), 1);
     assert.equal(planChainCount(GROWN_SITE, createModel()), 2);
   });
 
-  it('is one where not even that fits', () => {
+  it('is one even when the memory cannot hold the model', () => {
     assert.equal(planChainCount(createMembers(repeat('tiny', 3)), createModel()), 1);
   });
 
-  it('gives each chain its share of the memory', () => {
+  it('splits the engines into chains of similar memory', () => {
     const sums = splitIntoChains(GROWN_SITE, 2).map((group) =>
       group.reduce((sum, { memoryMb }) => sum + memoryMb, 0),
     );
--- a/packages/routing/__tests__/stagePath.spec.ts
+++ b/packages/routing/__tests__/stagePath.spec.ts
@@ -19,7 +19,7 @@
 }
 
 describe('a path over engines with overlapping ranges', () => {
-  it('runs every layer once, in order, over each engine once, whatever they hold', () => {
+  it('runs every layer once, in order, and uses each engine once, for any ranges', () => {
     const engine = fc.record({
       first: fc.integer({ min: 0, max: 19 }),
       length: fc.integer({ min: 1, max: 20 }),
@@ -40,7 +40,7 @@
     );
   });
 
-  it('takes the cheaper of two engines for the layers that both hold', () => {
+  it('uses the cheaper of two engines for the layers that both hold', () => {
     const engines = [createStageEngine('1', 0, 10, 5), createStageEngine('2', 4, 10, 1)];
     const path = findStagePath(engines, { toLayer: 10 });
     assert.deepEqual(
--- a/packages/routing/__tests__/tokenBucket.spec.ts
+++ b/packages/routing/__tests__/tokenBucket.spec.ts
@@ -14,7 +14,7 @@
       bucket.settle();
       ratePerS = next;
     },
-    /** Takes whatever comes for a time, and counts it. */
+    /** Takes every token that is available within a period and returns their number. */
     drain(durationMs: number): number {
       let taken = 0;
       for (let passedMs = 0; passedMs < durationMs; passedMs += 10) {
@@ -27,22 +27,22 @@
 }
 
 describe('a token bucket', () => {
-  it('gives out its rate, and what was saved up once', () => {
+  it('grants tokens at its rate, and accumulated tokens once', () => {
     const { bucket, clock, drain } = createBucket(4);
     assert.equal(bucket.take(), false);
     assert.equal(drain(1000), 4);
     clock.advance(60_000);
-    // What came within the last ten milliseconds is not whole yet.
+    // The token of the last ten milliseconds is still incomplete.
     assert.equal(drain(1010), 6);
   });
 
-  it('saves up tokens of a twentieth of a second at high rates', () => {
+  it('accumulates tokens of a twentieth of a second at high rates', () => {
     const { clock, drain } = createBucket(1000);
     clock.advance(60_000);
     assert.equal(drain(10), 50);
   });
 
-  it('tells when the next token is there', () => {
+  it('returns the time until the next token', () => {
     const { bucket, clock } = createBucket(4);
     assert.equal(bucket.waitMs(), 250);
     clock.advance(100);
@@ -51,7 +51,7 @@
     assert.equal(bucket.waitMs(), 0);
   });
 
-  it('counts the time before a change at the rate before it', () => {
+  it('applies the old rate to the time before a change', () => {
     const { bucket, clock, setRate } = createBucket(1);
     clock.advance(500);
     setRate(100);
@@ -62,7 +62,7 @@
     assert.equal(bucket.take(), false);
   });
 
-  it('takes back a token that was not used, and no more than it can hold', () => {
+  it('accepts returned tokens up to its burst size', () => {
     const { bucket, clock } = createBucket(1, 1);
     assert.equal(bucket.take(), true);
     bucket.refund();
@@ -74,7 +74,7 @@
     assert.equal(bucket.take(), true);
   });
 
-  it('bounds nothing at an infinite rate, also when no time has passed', () => {
+  it('does not limit at an infinite rate, even when no time has passed', () => {
     const { bucket } = createBucket(Number.POSITIVE_INFINITY);
     for (let count = 0; count < 100; count += 1) assert.equal(bucket.take(), true);
   });
--- a/packages/routing/__tests__/unseenLoad.spec.ts
+++ b/packages/routing/__tests__/unseenLoad.spec.ts
@@ -15,8 +15,8 @@
   return { clock, unseen, begin };
 }
 
-describe('the load of others that they have not reported', () => {
-  it('keeps nine VMs that find a chain empty at once from filling it more than once', () => {
+describe('the unreported load of other VMs', () => {
+  it('limits the overload when nine VMs see an empty chain at the same time', () => {
     const { unseen, begin } = createEstimate();
     let own = 0;
     while (own + unseen.estimate('head', own, PEERS) < CAPACITY) {
@@ -28,14 +28,14 @@
     assert.ok(together < CAPACITY * 1.4, `${together} of ${CAPACITY}`);
   });
 
-  it('is nothing while as many requests begin as end', () => {
+  it('is 0 while requests start and end at the same rate', () => {
     const { unseen, begin } = createEstimate();
     begin(12);
     for (let each = 0; each < 10; each += 1) unseen.record('head', -1);
     assert.equal(unseen.estimate('head', 16, PEERS), 0);
   });
 
-  it('is never negative, and ends with the age that loads have', () => {
+  it('is never negative, and expires with the age of the reports', () => {
     const { clock, unseen, begin } = createEstimate();
     unseen.record('head', -1);
     assert.equal(unseen.estimate('head', 3, PEERS), 0);
@@ -45,7 +45,7 @@
     assert.equal(unseen.estimate('head', 20, PEERS), 0);
   });
 
-  it('keeps chains apart', () => {
+  it('is estimated separately for each chain', () => {
     const { unseen, begin } = createEstimate();
     begin(20);
     assert.equal(unseen.estimate('other', 0, PEERS), 0);
--- a/packages/routing/__tests__/wholeChains.spec.ts
+++ b/packages/routing/__tests__/wholeChains.spec.ts
@@ -7,7 +7,7 @@
 
 const MODEL = createModel({ usualAnswerTokens: 141, stepsPerPass: 3, maxConcurrentLoads: 30 });
 
-/** Data centres with room for several chains, of unlike engines. */
+/** Data centres of heterogeneous engines, most with memory for several chains. */
 const DATA_CENTRES: Readonly<Record<string, readonly string[]>> = {
   four: ['large', ...repeat('medium', 6), ...repeat('small', 16), ...repeat('tiny', 22)],
   three: ['large', ...repeat('medium', 2), ...repeat('small', 19), ...repeat('tiny', 22)],
@@ -44,21 +44,21 @@
   }
 }
 
-/** So little memory is left over that the engines of a broken chain cannot hold it any more. */
+/** Data centres with too little spare memory to rebuild a broken chain from its engines. */
 const TIGHT = ['four', 'slow'];
 
 describe('a data centre with several chains', () => {
   Object.entries(DATA_CENTRES).forEach(([name, kinds]) => {
-    it(`is left as it is while nothing is lost (${name})`, () => {
+    it(`is unchanged while no engine is lost (${name})`, () => {
       assert.deepEqual(planPlacement(layOut(kinds), MODEL), []);
     });
 
-    it(`moves no engine while one that was lost may come back, and gives it its part then (${name})`, () => {
+    it(`moves no engine while a lost one may return, and reassigns its layers then (${name})`, () => {
       const engines = layOut(kinds);
       const held = engines.filter(({ firstLayer }) => firstLayer !== null);
       const lost = held.find(({ acceleratorKind }) => ['small', 'tiny'].includes(acceleratorKind));
       assert.ok(lost);
-      // With a single chain the lost layers are missing altogether: that is mended at once.
+      // With a single chain the lost layers have no other copy, so they are restored at once.
       if (countChains(engines) === 1) return;
       const mayMove = () => false;
       const left = engines.filter(({ id }) => id !== lost.id);
@@ -77,7 +77,7 @@
       }
     });
 
-    it(`has as many chains again after the loss of any small engine (${name})`, () => {
+    it(`restores the number of chains after the loss of any small engine (${name})`, () => {
       const engines = layOut(kinds);
       const before = countChains(engines);
       engines
@@ -93,7 +93,7 @@
         });
     });
 
-    it(`keeps all other chains while one is mended (${name})`, () => {
+    it(`keeps all other chains while one is repaired (${name})`, () => {
       const engines = layOut(kinds);
       const before = countChains(engines);
       engines.forEach((lost) => {
