--- a/packages/routing/src/backendFit.ts
+++ b/packages/routing/src/backendFit.ts
@@ -16,12 +16,12 @@
   if (!service) return 'its service is not in the document';
   const { model } = service;
   if (!model) return null;
-  if (!stated.engine) return 'it is no engine, as its service needs';
+  if (!stated.engine) return 'it is not an engine, which its service requires';
   const { acceleratorKind, held } = stated.engine;
   const kind = model.kinds.find(({ name }) => name === acceleratorKind);
-  if (!kind) return 'its kind of accelerator is not in the document';
+  if (!kind) return 'its accelerator kind is not in the document';
   if (!held) return null;
   if (held.endLayer > model.layers) return 'it holds layers that the model does not have';
   const heldMb = (held.endLayer - held.firstLayer) * model.layerMb;
-  return heldMb > kind.memoryMb ? 'it holds more layers than its memory' : null;
+  return heldMb > kind.memoryMb ? 'its layers exceed the memory of its accelerator kind' : null;
 }
--- a/packages/routing/src/permitAccount.ts
+++ b/packages/routing/src/permitAccount.ts
@@ -103,8 +103,8 @@
 /**
  * Returns the share of a limit that a VM grants. The owner, its stand-ins, and the VMs that reach
  * neither together stay below one and a half times the limit. The share of a stand-in is
- * proportional to the number of VMs that ask it, so the shares of stand-ins in different partitions
- * add up to `STAND_IN_SHARE` at most.
+ * proportional to the number of VMs that ask it, so the shares of VMs that cannot reach each other
+ * add up to at most one limit.
  */
 export function lentShare({ isOwner, askers, vms }: AccountRole): number {
   return isOwner ? OWNER_SHARE : STAND_IN_SHARE * Math.min(1, askers / Math.max(1, vms));
--- a/packages/routing/src/placement.ts
+++ b/packages/routing/src/placement.ts
@@ -77,8 +77,8 @@
 
 interface HoleOptions {
   /**
-   * Whether leaving or slow engines still serve the missing layers. If so, no order may remove a
-   * layer from the engine that holds it.
+   * Whether leaving or slow engines still serve the missing layers. If so, no order may remove the
+   * last copy of a layer.
    */
   readonly isStillServed: boolean;
 }
@@ -142,7 +142,7 @@
   else addSecondCopies(engines, empty, perLayerMb, model);
 }
 
-function isSame(a: Range | null, b: Range | null): boolean {
+function isSameRange(a: Range | null, b: Range | null): boolean {
   return a?.first === b?.first && a?.end === b?.end;
 }
 
@@ -176,14 +176,14 @@
 ): void {
   // Waits for orders in progress: their effect is known before the next change is planned.
   if (engines.some(({ isOrderable }) => !isOrderable)) return;
-  const empties = engines.filter(({ planned }) => planned === null);
-  if (empties.length === 0 && chains > 1) return;
+  const emptyEngines = engines.filter(({ planned }) => planned === null);
+  if (emptyEngines.length === 0 && chains > 1) return;
   const memoryMb =
     chains > 1 ? findMemoryPerLayer(engines, model, chains) : chooseMemoryPerLayer(engines, model);
   if (memoryMb === undefined) return;
   // Trims only a single chain: with several, every layer is held more than once by design.
-  if (empties.length === 0) trimExcessLayers(engines, memoryMb, model);
-  empties.forEach((empty) => assignEmptyEngine(engines, empty, memoryMb, model));
+  if (emptyEngines.length === 0) trimExcessLayers(engines, memoryMb, model);
+  emptyEngines.forEach((empty) => assignEmptyEngine(engines, empty, memoryMb, model));
 }
 
 /** Fills holes using only engines that hold no layers. */
@@ -272,7 +272,7 @@
   else if (!repairBrokenChain(plannedEngines, model, { chains, mayMove }) && mayImprove)
     improveLayout(plannedEngines, model, chains);
   return plannedEngines.flatMap(({ id, held, planned }) =>
-    planned && !isSame(held, planned)
+    planned && !isSameRange(held, planned)
       ? [
           {
             id,
--- a/packages/routing/src/retryTurns.ts
+++ b/packages/routing/src/retryTurns.ts
@@ -23,11 +23,11 @@
   return {
     nextInMs(service, perS, ahead) {
       const nowMs = clock.nowMs();
-      const gapMs = MS_PER_S / perS;
-      const afterLastMs = (lastAtMs.get(service) ?? 0) + gapMs;
+      const spacingMs = MS_PER_S / perS;
+      const afterLastMs = (lastAtMs.get(service) ?? 0) + spacingMs;
       const atMs = Math.min(
         nowMs + MAX_DELAY_MS,
-        Math.max(nowMs + (ahead + 1) * gapMs, afterLastMs),
+        Math.max(nowMs + (ahead + 1) * spacingMs, afterLastMs),
       );
       lastAtMs.set(service, atMs);
       return Math.ceil(atMs - nowMs);
--- a/packages/routing/src/routingDocument.ts
+++ b/packages/routing/src/routingDocument.ts
@@ -112,10 +112,12 @@
     return [
       ...route.targets
         .filter(({ service }) => !services.has(service))
-        .map(({ service }) => finding(pointer, `names the unknown service ${service}`)),
-      ...(isDuplicate ? [finding(pointer, 'has the host and path of another route')] : []),
-      ...(weight > 0 ? [] : [finding(pointer, 'has weights that add up to 0')]),
-      ...(route.timeoutMs > 0 ? [] : [finding(pointer, 'has no time-out above 0')]),
+        .map(({ service }) => finding(pointer, `refers to the unknown service ${service}`)),
+      ...(isDuplicate
+        ? [finding(pointer, 'has the same host and path prefix as another route')]
+        : []),
+      ...(weight > 0 ? [] : [finding(pointer, 'has target weights with a sum of 0')]),
+      ...(route.timeoutMs > 0 ? [] : [finding(pointer, 'needs a time-out above 0')]),
     ];
   });
 }
--- a/packages/routing/src/slotLedger.ts
+++ b/packages/routing/src/slotLedger.ts
@@ -73,14 +73,14 @@
 export function createSlotLedger(options: SlotLedgerOptions): SlotLedger {
   const { clock, leaseMs = DEFAULT_LEASE_MS, unclaimedMs = DEFAULT_UNCLAIMED_MS } = options;
   const holders = new Map<string, Holder>();
-  const sums = new Map<string, number>();
+  const totals = new Map<string, number>();
   let sweptAtMs = Number.NEGATIVE_INFINITY;
 
-  function add({ headId }: HeldSlot, size: number): void {
-    sums.set(headId, (sums.get(headId) ?? 0) + size);
+  function addToTotal({ headId }: HeldSlot, size: number): void {
+    totals.set(headId, (totals.get(headId) ?? 0) + size);
   }
 
-  function find(name: string): Holder {
+  function findOrCreate(name: string): Holder {
     const known = holders.get(name);
     if (known) return known;
     const created: Holder = {
@@ -94,17 +94,17 @@
 
   function put({ entries }: Holder, slot: HeldSlot, isListed: boolean): void {
     const known = entries.get(slot.ticket);
-    if (known) add(known.slot, -known.slot.size);
+    if (known) addToTotal(known.slot, -known.slot.size);
     const grantedAtMs = known?.grantedAtMs ?? clock.nowMs();
     entries.set(slot.ticket, { slot, grantedAtMs, isListed });
-    add(slot, slot.size);
+    addToTotal(slot, slot.size);
   }
 
   function remove({ entries }: Holder, ticket: string): void {
     const known = entries.get(ticket);
     if (!known) return;
     entries.delete(ticket);
-    add(known.slot, -known.slot.size);
+    addToTotal(known.slot, -known.slot.size);
   }
 
   function isUnclaimed({ isListed, grantedAtMs }: Entry): boolean {
@@ -126,10 +126,10 @@
 
   return {
     grant(name, slot) {
-      put(find(name), slot, false);
+      put(findOrCreate(name), slot, false);
     },
     report(name, { sequence, slots }) {
-      const holder = find(name);
+      const holder = findOrCreate(name);
       if (sequence <= holder.sequence) return;
       holder.sequence = sequence;
       holder.receivedAtMs = clock.nowMs();
@@ -145,7 +145,7 @@
     },
     heldOn(headId) {
       sweep();
-      return Math.max(0, sums.get(headId) ?? 0);
+      return Math.max(0, totals.get(headId) ?? 0);
     },
     get holders() {
       sweep();
--- a/packages/routing/src/stageChains.ts
+++ b/packages/routing/src/stageChains.ts
@@ -42,11 +42,15 @@
   const ordered = [...engines].sort((a, b) => (a.id < b.id ? -1 : 1));
   const used = new Set<string>();
   const chains: StageChain[] = [];
-  const held = ordered.reduce((sum, { firstLayer, endLayer }) => sum + endLayer - firstLayer, 0);
-  const unusedLayerCostMs = held < 2 * layers ? UNUSED_LAYER_COST_ALONE_MS : UNUSED_LAYER_COST_MS;
+  const heldLayers = ordered.reduce(
+    (sum, { firstLayer, endLayer }) => sum + endLayer - firstLayer,
+    0,
+  );
+  const unusedLayerCostMs =
+    heldLayers < 2 * layers ? UNUSED_LAYER_COST_ALONE_MS : UNUSED_LAYER_COST_MS;
   const options = { toLayer: layers, unusedLayerCostMs };
 
-  function take(stages: readonly PathStage[]): void {
+  function addChain(stages: readonly PathStage[]): void {
     chains.push({ stages });
     stages.forEach(({ id }) => used.add(id));
   }
@@ -55,7 +59,7 @@
     const free = ordered.filter(({ id }) => !used.has(id));
     const path = findStagePath(free, options);
     if (!path) break;
-    take(path.stages);
+    addChain(path.stages);
   }
   while (used.size < ordered.length) {
     const priced = ordered.map((engine) =>
@@ -68,7 +72,7 @@
     const isUseful =
       path !== undefined && countSharedLayers(path.stages, used) <= layers * MAX_SHARED_LAYERS;
     if (!isUseful) break;
-    take(path.stages);
+    addChain(path.stages);
   }
   return chains;
 }
