--- a/packages/routing/__tests__/slotLedger.spec.ts
+++ b/packages/routing/__tests__/slotLedger.spec.ts
@@ -4,24 +4,24 @@
 import { createSlotLedger } from '../src/slotLedger';
 import type { HeldSlot } from '../src/slotLedger';
 
-function createSetting() {
+function createFixture() {
   const clock = createManualClock(1000);
-  const ledger = createSlotLedger({ clock, leaseMs: 2600, untakenMs: 400 });
+  const ledger = createSlotLedger({ clock, leaseMs: 2600, unclaimedMs: 400 });
   const slot = (ticket: string, size = 1): HeldSlot => ({ ticket, headId: 'h', size });
   return { clock, ledger, slot };
 }
 
-describe('the account of slots', () => {
-  it('counts a slot from the moment it is given out', () => {
-    const { ledger, slot } = createSetting();
+describe('the slot ledger', () => {
+  it('counts a slot as soon as it is granted', () => {
+    const { ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
     ledger.grant('vm2', slot('r1', 2.5));
     assert.equal(ledger.heldOn('h'), 3.5);
     assert.equal(ledger.heldOn('other'), 0);
   });
 
-  it('frees what a holder no longer lists', () => {
-    const { ledger, slot } = createSetting();
+  it('frees a slot that its holder no longer lists', () => {
+    const { ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
     ledger.grant('vm1', slot('r2'));
     ledger.report('vm1', { sequence: 1, slots: [slot('r1'), slot('r2')] });
@@ -29,16 +29,16 @@
     assert.equal(ledger.heldOn('h'), 1);
   });
 
-  it('keeps a slot that was given out while an older list was on its way', () => {
-    const { clock, ledger, slot } = createSetting();
+  it('keeps a slot that was granted while an older report was in transit', () => {
+    const { clock, ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
     clock.advance(5);
     ledger.report('vm1', { sequence: 1, slots: [] });
     assert.equal(ledger.heldOn('h'), 1);
   });
 
-  it('frees a slot whose answer was lost', () => {
-    const { clock, ledger, slot } = createSetting();
+  it('frees a slot when the answer with its grant was lost', () => {
+    const { clock, ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
     clock.advance(501);
     ledger.report('vm1', { sequence: 1, slots: [] });
@@ -46,8 +46,8 @@
     assert.equal(ledger.heldOn('h'), 0);
   });
 
-  it('frees a slot at once that its holder gives up', () => {
-    const { ledger, slot } = createSetting();
+  it('frees a slot immediately when its holder releases it', () => {
+    const { ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
     ledger.giveUp('vm1', 'r1');
     ledger.giveUp('vm1', 'unknown');
@@ -55,23 +55,23 @@
     assert.equal(ledger.heldOn('h'), 0);
   });
 
-  it('believes the newest list, whichever arrives last', () => {
-    const { ledger, slot } = createSetting();
+  it('uses the newest report, regardless of the order of arrival', () => {
+    const { ledger, slot } = createFixture();
     ledger.report('vm1', { sequence: 2, slots: [] });
     ledger.report('vm1', { sequence: 1, slots: [slot('r1')] });
     assert.equal(ledger.heldOn('h'), 0);
   });
 
-  it('learns what was held before it was asked, from the first list', () => {
-    const { ledger, slot } = createSetting();
+  it('learns earlier slots from the first report of a holder', () => {
+    const { ledger, slot } = createFixture();
     ledger.report('vm1', { sequence: 9, slots: [slot('r1'), slot('r2')] });
     ledger.report('vm2', { sequence: 3, slots: [slot('r1')] });
     assert.equal(ledger.heldOn('h'), 3);
     assert.equal(ledger.holders, 2);
   });
 
-  it('frees what sixty holders had that are all gone, once their leases have run out', () => {
-    const { clock, ledger, slot } = createSetting();
+  it('frees the slots of sixty lost holders when their leases expire', () => {
+    const { clock, ledger, slot } = createFixture();
     for (let vm = 0; vm < 60; vm += 1) {
       ledger.report(`vm${vm}`, { sequence: 1, slots: [slot('r1')] });
     }
--- a/packages/routing/src/backendFit.ts
+++ b/packages/routing/src/backendFit.ts
@@ -1,7 +1,7 @@
-/** Whether what a backend server says of itself can be true by the document in force. */
+/** Checks the announcement of a backend server against the routing document in force. */
 import type { RoutingDocument } from './routingDocument';
 
-/** What a backend server says that the document can be held against. */
+/** The announced properties that are checked against the document. */
 export interface StatedBackend {
   readonly service: string;
   readonly engine?: {
@@ -10,18 +10,18 @@
   };
 }
 
-/** Why a backend server cannot be what it says; null when nothing speaks against it. */
+/** Returns why an announcement contradicts the document; null when it is consistent. */
 export function findMisfit(stated: StatedBackend, document: RoutingDocument): string | null {
   const service = document.services.find(({ name }) => name === stated.service);
   if (!service) return 'its service is not in the document';
   const { model } = service;
   if (!model) return null;
-  if (!stated.engine) return 'it is no engine, as its service needs';
+  if (!stated.engine) return 'it is not an engine, which its service requires';
   const { acceleratorKind, held } = stated.engine;
   const kind = model.kinds.find(({ name }) => name === acceleratorKind);
-  if (!kind) return 'its kind of accelerator is not in the document';
+  if (!kind) return 'its accelerator kind is not in the document';
   if (!held) return null;
   if (held.endLayer > model.layers) return 'it holds layers that the model does not have';
   const heldMb = (held.endLayer - held.firstLayer) * model.layerMb;
-  return heldMb > kind.memoryMb ? 'it holds more layers than its memory' : null;
+  return heldMb > kind.memoryMb ? 'its layers exceed the memory of its accelerator kind' : null;
 }
