--- a/packages/entry/__tests__/admissionQueue.spec.ts
+++ b/packages/entry/__tests__/admissionQueue.spec.ts
@@ -4,7 +4,7 @@
 import { createAdmissionQueue } from '../src/admission/admissionQueue';
 import type { Wait } from '../src/admission/admissionQueue';
 
-function createQueue(maxWaiting = 10) {
+function createQueue(maxLength = 10) {
   const clock = createManualClock();
   const sleepers: (() => void)[] = [];
   const queue = createAdmissionQueue({
@@ -13,7 +13,7 @@
       new Promise((resolve) => {
         sleepers.push(resolve);
       }),
-    maxWaiting,
+    maxLength,
     pollMs: 10,
   });
   let slots = 0;
@@ -42,7 +42,7 @@
           taken.push(name);
           return name;
         },
-        isGone: () => false,
+        isAbandoned: () => false,
         ...overrides,
       });
     },
@@ -79,7 +79,7 @@
   it('lets go of those whose time is over, who have left, or who are too many', async () => {
     const { enter, pass, queue } = createQueue(2);
     let hasLeft = false;
-    const waits = [enter('a'), enter('b', { isGone: () => hasLeft })];
+    const waits = [enter('a'), enter('b', { isAbandoned: () => hasLeft })];
     assert.equal(await enter('late', { inTimeUntilMs: 0 }), undefined);
     hasLeft = true;
     await pass(10);
--- a/packages/entry/__tests__/allocatorOwner.spec.ts
+++ b/packages/entry/__tests__/allocatorOwner.spec.ts
@@ -39,7 +39,7 @@
     const { clock, rank } = createRank();
     const owner = rank.findOwner('a') ?? '';
     for (let count = 0; count < 5; count += 1) {
-      rank.recordSilence(owner);
+      rank.recordTimeout(owner);
       clock.advance(400);
     }
     assert.notEqual(rank.find('a')?.host, owner);
@@ -49,7 +49,7 @@
   it('is another one when it refused a connection, or is known no longer', () => {
     const { clock, rank, lose } = createRank();
     const owner = rank.findOwner('a') ?? '';
-    rank.recordGone(owner);
+    rank.recordUnavailable(owner);
     const next = rank.findOwner('a') ?? '';
     assert.notEqual(next, owner);
     clock.advance(3000);
--- a/packages/entry/__tests__/slotFixtures.ts
+++ b/packages/entry/__tests__/slotFixtures.ts
@@ -209,7 +209,7 @@
       leavesAtMs,
       excludedHeads: new Set(),
       rankDataCentres: () => (chains.length > 0 ? [{ dataCentre: 'a', hasRoom: true }] : []),
-      isGone: () => !vm.isUp || clock.nowMs() >= leavesAtMs,
+      isAbandoned: () => !vm.isUp || clock.nowMs() >= leavesAtMs,
       ...overrides,
     };
   }
--- a/packages/entry/src/admission/admissionQueue.ts
+++ b/packages/entry/src/admission/admissionQueue.ts
@@ -1,4 +1,4 @@
-/** Requests that wait a short while for a slot; who gets the next one is `compareQueued`'s. */
+/** Queues requests for a short wait for a slot, in the order of `compareQueued`. */
 import { compareQueued, isHopeless } from '@spoolplank/routing';
 import type { QueuedRequest } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
@@ -6,29 +6,35 @@
 export interface AdmissionQueueOptions {
   readonly clock: Clock;
   readonly delay: (durationMs: number) => Promise<void>;
-  /** With so many waiting, the last one is let go when another one comes. */
-  readonly maxWaiting: number;
+  /** Maximum length of the queue; if a request joins a full queue, the last one is dropped. */
+  readonly maxLength: number;
   /** How often the queue looks for free slots. */
   readonly pollMs: number;
 }
 
 export interface Wait<Slot> extends QueuedRequest {
-  /** Looks for a slot; undefined while there is none. */
+  /** Tries to take a slot; undefined if there is none. */
   readonly find: () => Slot | undefined;
-  /** What it leaves out; those that leave out the same find the same slots. Nothing by default. */
-  readonly excludes?: () => string;
-  /** Slots a second that limits of servers allow for it; null where they are no bound. */
+  /**
+   * Identifies the excluded servers. Requests with equal keys can take the same slots. Empty by
+   * default.
+   */
+  readonly exclusionKey?: () => string;
+  /** Slots per second that rate limits of servers allow; null if these are no bound. */
   readonly limitedPerS?: () => number | null;
-  /** Whether nobody waits for the slot any more. */
-  readonly isGone: () => boolean;
+  /** Whether the request no longer needs a slot. */
+  readonly isAbandoned: () => boolean;
 }
 
 export interface AdmissionQueue {
-  /** Number of requests that wait. */
+  /** Number of queued requests. */
   readonly length: number;
-  /** Slots that were given lately, a second. */
+  /** Recent rate of grants. */
   slotsPerS(): number;
-  /** A slot, at once where one is free and nobody waits for it; undefined when none came. */
+  /**
+   * Resolves with a slot, at once if one is free and no request is ahead, or with undefined if the
+   * request left the queue without one or would wait in vain.
+   */
   enter<Slot>(wait: Wait<Slot>): Promise<Slot | undefined>;
 }
 
@@ -36,34 +42,37 @@
   readonly wait: Wait<unknown>;
   /** Ends the wait, with a slot or without one. */
   readonly settle: (slot: unknown) => void;
-  /** Ends the wait with the error that looking for a slot met. */
+  /** Ends the wait with the error that `find` threw. */
   readonly fail: (error: unknown) => void;
 }
 
-/** So many that find no slot stand for all behind them that leave out the same. */
-const MAX_VAIN_TRIES = 3;
-/** Bounds a pass; those for whom a chain backs off must not keep its slots from the others. */
-const MAX_TRIES = 24;
-/** Pause after a slot was given. */
-const NEXT_SLOT_MS = 2;
-/** Time over which slots that came free are counted, in milliseconds. */
+/** After this many failures with an exclusion key, a pass skips the other requests with it. */
+const MAX_FAILED_TRIES = 3;
+/**
+ * Bounds the cost of a pass. It exceeds `MAX_FAILED_TRIES`, as requests for which a chain backs off
+ * must not keep its slots from the requests behind them.
+ */
+const MAX_TRIES_PER_PASS = 24;
+/** Pause after a grant. */
+const AFTER_GRANT_MS = 2;
+/** Window over which the rate of grants is measured. */
 const RATE_WINDOW_MS = 1500;
 const MS_PER_S = 1000;
 
 export function createAdmissionQueue(options: AdmissionQueueOptions): AdmissionQueue {
-  const { clock, delay, maxWaiting, pollMs } = options;
+  const { clock, delay, maxLength, pollMs } = options;
   const queue: Ticket[] = [];
-  const slotsAtMs: number[] = [];
+  const grantedAtMs: number[] = [];
   let isPolling = false;
 
-  function recordSlot(): void {
-    slotsAtMs.push(clock.nowMs());
+  function recordGrant(): void {
+    grantedAtMs.push(clock.nowMs());
   }
 
   function slotsPerS(): number {
     const oldestMs = clock.nowMs() - RATE_WINDOW_MS;
-    while (slotsAtMs.length > 0 && (slotsAtMs[0] ?? 0) < oldestMs) slotsAtMs.shift();
-    return (slotsAtMs.length / RATE_WINDOW_MS) * MS_PER_S;
+    while (grantedAtMs.length > 0 && (grantedAtMs[0] ?? 0) < oldestMs) grantedAtMs.shift();
+    return (grantedAtMs.length / RATE_WINDOW_MS) * MS_PER_S;
   }
 
   function sortQueue(): void {
@@ -71,25 +80,25 @@
     queue.sort((a, b) => compareQueued(a.wait, b.wait, nowMs));
   }
 
-  function release(ticket: Ticket, slot: unknown): void {
+  function remove(ticket: Ticket, slot: unknown): void {
     queue.splice(queue.indexOf(ticket), 1);
     ticket.settle(slot);
   }
 
-  function releaseEnded(): void {
+  function removeEnded(): void {
     const nowMs = clock.nowMs();
     queue
-      .filter(({ wait }) => nowMs >= wait.leavesAtMs || wait.isGone())
-      .forEach((ticket) => release(ticket, undefined));
+      .filter(({ wait }) => nowMs >= wait.leavesAtMs || wait.isAbandoned())
+      .forEach((ticket) => remove(ticket, undefined));
   }
 
-  /** Looks for a slot for one request; an error ends its wait and nobody else's. */
-  function tryToSlot(ticket: Ticket): boolean {
+  /** Tries to grant a slot to one request. An error ends the wait of this request only. */
+  function tryGrant(ticket: Ticket): boolean {
     try {
       const slot = ticket.wait.find();
       if (slot === undefined) return false;
-      recordSlot();
-      release(ticket, slot);
+      recordGrant();
+      remove(ticket, slot);
       return true;
     } catch (error) {
       queue.splice(queue.indexOf(ticket), 1);
@@ -98,19 +107,19 @@
     }
   }
 
-  /** Gives a slot to the first who finds one; whether there was one. */
-  function giveSlot(): boolean {
+  /** Grants a slot to the first request that finds one; returns whether one did. */
+  function grantNext(): boolean {
     sortQueue();
-    const vainTries = new Map<string, number>();
+    const failedTries = new Map<string, number>();
     let tries = 0;
     for (const ticket of [...queue]) {
-      const excluded = ticket.wait.excludes?.() ?? '';
-      const inVain = vainTries.get(excluded) ?? 0;
-      if (inVain < MAX_VAIN_TRIES) {
-        if (tryToSlot(ticket)) return true;
-        vainTries.set(excluded, inVain + 1);
+      const excluded = ticket.wait.exclusionKey?.() ?? '';
+      const failures = failedTries.get(excluded) ?? 0;
+      if (failures < MAX_FAILED_TRIES) {
+        if (tryGrant(ticket)) return true;
+        failedTries.set(excluded, failures + 1);
         tries += 1;
-        if (tries >= MAX_TRIES) return false;
+        if (tries >= MAX_TRIES_PER_PASS) return false;
       }
     }
     return false;
@@ -119,12 +128,12 @@
   async function poll(): Promise<void> {
     if (isPolling) return;
     isPolling = true;
-    let wasSlotGiven = false;
+    let wasGranted = false;
     while (queue.length > 0) {
-      // A slot that was given counts as taken only once its request is under way.
-      await delay(wasSlotGiven ? NEXT_SLOT_MS : pollMs);
-      releaseEnded();
-      wasSlotGiven = giveSlot();
+      // A granted slot counts as in flight only once its request has been sent.
+      await delay(wasGranted ? AFTER_GRANT_MS : pollMs);
+      removeEnded();
+      wasGranted = grantNext();
     }
     isPolling = false;
   }
@@ -138,8 +147,8 @@
     return new Promise((resolve, reject) => {
       queue.push({ wait, settle: (slot) => resolve(slot as Slot | undefined), fail: reject });
       sortQueue();
-      const last = queue.length > maxWaiting ? queue.at(-1) : undefined;
-      if (last) release(last, undefined);
+      const last = queue.length > maxLength ? queue.at(-1) : undefined;
+      if (last) remove(last, undefined);
       void poll();
     });
   }
@@ -153,7 +162,7 @@
       const ahead = countAhead(wait);
       const slot = ahead === 0 ? wait.find() : undefined;
       if (slot !== undefined) {
-        recordSlot();
+        recordGrant();
         return slot;
       }
       const remainingMs = wait.leavesAtMs - clock.nowMs();
--- a/packages/entry/src/admission/backoffWaits.ts
+++ b/packages/entry/src/admission/backoffWaits.ts
@@ -1,6 +1,4 @@
-/**
- * Requests for which everything backs off that could run them: a short wait, or a time to return.
- */
+/** Delays requests while all servers that could run them back off, or refuses them with a retry. */
 import { isBackoffWorthWaiting } from '@spoolplank/routing';
 import type { BackoffTable } from '@spoolplank/routing';
 import { SpoolplankError } from '@spoolplank/shared';
@@ -15,11 +13,11 @@
 
 export interface BackoffWaits {
   /**
-   * Waits out a short backoff; `backoffEndsInMs` is how long the first backoff still lasts, 0
-   * when something may be sent.
+   * Waits for the end of a short backoff. `backoffEndsInMs` returns the time until the first
+   * backoff ends, or 0 if a server is available.
    *
-   * @throws SpoolplankError that says when it is the caller's turn, where that is too long a wait;
-   * the request has not run.
+   * @throws SpoolplankError with the time after which the caller should retry, if the wait would be
+   *   too long. The request has not run.
    */
   wait(admitted: AdmittedRequest, backoffEndsInMs: () => number): Promise<void>;
 }
--- a/packages/entry/src/admission/callerAge.ts
+++ b/packages/entry/src/admission/callerAge.ts
@@ -1,14 +1,14 @@
 /**
- * How long a caller had been trying before its request arrived. Callers state how long they still
- * wait; one that was refused before, or could not connect, has less time left than others of its
- * organisation on the same route.
+ * Estimates how long a caller had been trying before its request arrived. Callers state how long
+ * they will still wait; a caller that was refused or could not connect before has less time left
+ * than others of its organisation on the same route.
  */
 export interface CallerAge {
-  /** Time since the caller's first try, in milliseconds; 0 where it is unknown. */
+  /** Time since the caller's first attempt; 0 if unknown. */
   estimateMs(group: string, remainingMs: number | null): number;
 }
 
-/** Groups that are remembered; beyond that the oldest ones are forgotten. */
+/** Maximum number of groups; the least recently raised one is evicted first. */
 const MAX_GROUPS = 4096;
 
 export function createCallerAge(): CallerAge {
--- a/packages/entry/src/admission/requestAdmission.ts
+++ b/packages/entry/src/admission/requestAdmission.ts
@@ -1,4 +1,4 @@
-/** Whether a request may be served now, and where it may go. */
+/** Decides whether a request is admitted, and selects its route and service. */
 import { delay } from '@spoolplank/node';
 import { drawTarget } from '@spoolplank/routing';
 import { SpoolplankError } from '@spoolplank/shared';
@@ -12,30 +12,30 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly view: RoutingView;
-  /** Whether there is a document, confirmed lately enough. */
+  /** Whether there is a routing document that was confirmed recently enough. */
   readonly isReadyToRoute: () => boolean;
-  /** Whether the last confirmation is recent enough to know of routes and keys taken away. */
+  /** Whether the last confirmation is recent enough to know of removed routes and keys. */
   readonly isFresh: () => boolean;
 }
 
 export interface RequestAdmission {
-  /** From now on new requests are refused as not run. */
+  /** Refuses all new requests from now on, as not run. */
   refuseNew(): void;
   /**
-   * Finds out where a request may go; waits while this process has just started.
+   * Admits a request and selects its service. Waits while this process is starting up.
    *
-   * @throws SpoolplankError that the caller is to be refused with.
+   * @throws SpoolplankError the refusal for the caller.
    */
   admit(request: CallerRequest, answer: CallerAnswer): Promise<AdmittedRequest>;
 }
 
-/** A process that starts has its document after the core has elected a leader. */
-const START_MS = 1800;
-const START_POLL_MS = 20;
-/** A group that lost its leader confirms again after an election, which takes a second or two. */
+/** Startup time: the routing document arrives once the consensus core has elected a leader. */
+const STARTUP_MS = 1800;
+const STARTUP_POLL_MS = 20;
+/** After a leader is lost, confirmations resume with the next election, within a second or two. */
 const STALE_RETRY_AFTER_MS = 1000;
-/** Another entry serves at once; the caller only has to connect to it. */
-const LEAVING_RETRY_AFTER_MS = 50;
+/** Another entry can serve at once; the caller only has to connect to it. */
+const SHUTDOWN_RETRY_AFTER_MS = 50;
 
 export function createRequestAdmission(options: RequestAdmissionOptions): RequestAdmission {
   const { clock, random, view, isReadyToRoute, isFresh } = options;
@@ -44,29 +44,29 @@
   let isRefusing = false;
 
   function staleError(): SpoolplankError {
-    const startsForMs = Math.max(0, START_MS - (clock.nowMs() - startedAtMs));
-    const retryAfterMs = Math.max(STALE_RETRY_AFTER_MS, startsForMs);
+    const startupLeftMs = Math.max(0, STARTUP_MS - (clock.nowMs() - startedAtMs));
+    const retryAfterMs = Math.max(STALE_RETRY_AFTER_MS, startupLeftMs);
     return new SpoolplankError('settings-stale', { retryAfterMs });
   }
 
   /**
-   * A new process has its document within a second or two: requests wait for that time rather than
-   * being refused by every entry after a loss of power.
+   * Waits for the routing document, which arrives within a second or two of the start. Otherwise
+   * every entry would refuse requests after a power failure.
    */
-  async function waitForStart(): Promise<void> {
-    const endsAtMs = startedAtMs + START_MS;
-    while (!isReadyToRoute() && clock.nowMs() < endsAtMs) await delay(START_POLL_MS);
+  async function waitForStartup(): Promise<void> {
+    const endsAtMs = startedAtMs + STARTUP_MS;
+    while (!isReadyToRoute() && clock.nowMs() < endsAtMs) await delay(STARTUP_POLL_MS);
   }
 
   function decide(request: CallerRequest, answer: CallerAnswer): AdmittedRequest {
     if (isRefusing) {
-      throw new SpoolplankError('shutting-down', { retryAfterMs: LEAVING_RETRY_AFTER_MS });
+      throw new SpoolplankError('shutting-down', { retryAfterMs: SHUTDOWN_RETRY_AFTER_MS });
     }
     const routes = view.routes();
     if (!routes) throw staleError();
     const route = routes.findRoute(request.host, request.url);
     const needsKey = routes.document.isKeyRequired && !route?.isAnonymousAllowed;
-    // Without a fresh confirmation nothing is known of routes and keys that came or went lately.
+    // Without a fresh confirmation, recently added or removed routes and keys are unknown.
     if ((needsKey || !route) && !isFresh()) throw staleError();
     if (!route) throw new SpoolplankError('not-found');
     const organisation = request.key === null ? undefined : routes.findOrganisation(request.key);
@@ -89,7 +89,7 @@
       isRefusing = true;
     },
     async admit(request, answer) {
-      if (!isReadyToRoute()) await waitForStart();
+      if (!isReadyToRoute()) await waitForStartup();
       return decide(request, answer);
     },
   };
--- a/packages/entry/src/admission/retryBudgets.ts
+++ b/packages/entry/src/admission/retryBudgets.ts
@@ -1,43 +1,43 @@
-/** This entry's part of the retry budgets of all services. */
+/** This entry's share of the retry budgets of all services. */
 import { createWindowBudget } from '@spoolplank/routing';
 import type { WindowBudget } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
 
-/** A budget of retries that all entries share. */
+/** A retry budget that all entries share. */
 export interface RetryLimits {
   readonly windowMs: number;
   readonly ratio: number;
-  /** Retries in a window beyond that, for the whole deployment. */
+  /** Retries per window beyond the ratio, for the whole deployment. */
   readonly allowance: number;
 }
 
 export interface RetryBudgetsOptions {
   readonly clock: Clock;
   readonly limits: RetryLimits;
-  /** Entries that share the allowance, this one included. */
+  /** Number of entries that share the allowance, including this one. */
   readonly entries: () => number;
-  /** When this entry first heard from a control VM, by the steady clock; infinite before. */
+  /** When this entry first received facts from a control VM, on the steady clock; else infinite. */
   readonly firstSyncedAtMs: () => number;
 }
 
-/** The budget of a service; made when it is first asked for. */
+/** Returns the budget of a service; created on first use. */
 export type RetryBudgets = (service: string) => WindowBudget;
 
-/** Share of the deployment's allowance that is handed out; one may not know of all entries. */
+/** Share of the deployment's allowance in use, as an entry may not know all other entries. */
 const ALLOWANCE_SHARE = 0.7;
-/** Share of the ratio; requests are counted by this entry's own window, later than the callers'. */
+/** Share of the ratio in use: the windows of this entry lag behind those of the callers. */
 const RATIO_SHARE = 0.85;
 /**
- * How long an entry takes to know those that started with it: they announce themselves every 800
- * ms, over two control VMs. Until then it would take itself for the only one and use the whole
- * allowance.
+ * Time until an entry knows the entries that started together with it, which announce themselves
+ * every 800 ms through two control VMs. Before that it would count itself as the only entry and use
+ * the whole allowance.
  */
 export const MEMBERS_KNOWN_MS = 2600;
 /**
- * Retries that an entry takes before that, so that a first request which meets a lost backend
- * server is sent on.
+ * Retries that an entry may use before that, so that a first request whose backend server is lost
+ * is retried.
  */
-const START_ALLOWANCE = 2;
+const STARTUP_ALLOWANCE = 2;
 
 export function createRetryBudgets(options: RetryBudgetsOptions): RetryBudgets {
   const { clock, limits, entries, firstSyncedAtMs } = options;
@@ -45,7 +45,7 @@
 
   function ownAllowance(): number {
     const knowsOthers = clock.steadyMs() - firstSyncedAtMs() >= MEMBERS_KNOWN_MS;
-    if (!knowsOthers) return Math.min(START_ALLOWANCE, limits.allowance);
+    if (!knowsOthers) return Math.min(STARTUP_ALLOWANCE, limits.allowance);
     return (limits.allowance * ALLOWANCE_SHARE) / Math.max(1, entries());
   }
 
--- a/packages/entry/src/limits/limitAccount.ts
+++ b/packages/entry/src/limits/limitAccount.ts
@@ -1,19 +1,19 @@
 /**
- * The account of permits for the servers of this VM's data centre, and what is logged of it.
- * Directives of servers come in with the calls of the VMs that received them.
+ * Account of the permits for rate-limited servers of this VM's data centre, with its log and
+ * metrics. The limits that servers set arrive with the calls of the VMs that received them.
  */
 import type { EventLog, Metrics } from '@spoolplank/node';
 import { createPermitAccount, lentShare } from '@spoolplank/routing';
 import type { LimitDirective, NamedLimit, PermitAccount } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
 
-/** What a server said with the answer to one request. Times are durations until now. */
+/** A server's statement about its limit in the answer to one request. */
 export interface LimitReport {
   readonly instanceId: string;
   readonly directive: LimitDirective;
-  /** Time since the request was sent, in milliseconds. */
+  /** Time since the request was sent. */
   readonly sentAgoMs: number;
-  /** Time since the head of its answer came, in milliseconds. */
+  /** Time since the head of its answer was received. */
   readonly receivedAgoMs: number;
 }
 
@@ -21,36 +21,36 @@
   readonly clock: Pick<Clock, 'steadyMs'>;
   readonly log: Pick<EventLog, 'info'>;
   readonly metrics: Pick<Metrics, 'count' | 'gauge'>;
-  /** Whether all VMs ask this one for permits of a server, as far as it can know. */
+  /** Whether all VMs request permits for a server from this VM, as far as it can know. */
   readonly isOwner: (instanceId: string) => boolean;
-  /** Known entries, this one included. */
+  /** Number of known entries, including this one. */
   readonly countEntries: () => number;
 }
 
 export interface LimitAccount extends PermitAccount {
-  /** Takes in a VM's reports, and the limits that it goes by. */
+  /** Records the limit reports of a VM, and the limits that it currently applies. */
   learn(vm: string, reports: readonly LimitReport[], limits: readonly NamedLimit[]): void;
 }
 
-/** A VM that has slots here, or looks for one, calls once a second at least. */
-const ASKED_WITHIN_MS = 2600;
+/** A VM that holds or requests slots here calls at least once a second. */
+const ACTIVE_WITHIN_MS = 2600;
 
 export function createLimitAccount(options: LimitAccountOptions): LimitAccount {
   const { clock, log, metrics, isOwner, countEntries } = options;
-  const askedAtMs = new Map<string, number>();
+  const lastCallAtMs = new Map<string, number>();
 
-  function countAskers(): number {
-    const oldestMs = clock.steadyMs() - ASKED_WITHIN_MS;
-    askedAtMs.forEach((atMs, vm) => {
-      if (atMs < oldestMs) askedAtMs.delete(vm);
+  function countActiveVms(): number {
+    const oldestMs = clock.steadyMs() - ACTIVE_WITHIN_MS;
+    lastCallAtMs.forEach((atMs, vm) => {
+      if (atMs < oldestMs) lastCallAtMs.delete(vm);
     });
-    return askedAtMs.size;
+    return lastCallAtMs.size;
   }
 
   const account = createPermitAccount({
     clock,
     shareOf: (instanceId) =>
-      lentShare({ isOwner: isOwner(instanceId), askers: countAskers(), vms: countEntries() }),
+      lentShare({ isOwner: isOwner(instanceId), askers: countActiveVms(), vms: countEntries() }),
   });
 
   metrics.gauge('spoolplank_limited_servers', () => account.list().length);
@@ -58,7 +58,7 @@
     account.list().reduce((sum, { perS, ratePerS }) => sum + (perS === null ? 0 : ratePerS), 0),
   );
 
-  function name(vm: string, instanceId: string, perS: number, agoMs: number): void {
+  function recordNamed(vm: string, instanceId: string, perS: number, agoMs: number): void {
     const before = account.perSOf(instanceId);
     const change = account.name(instanceId, perS, agoMs);
     if (change === 'repeated' || change === 'outdated') return;
@@ -77,13 +77,15 @@
   return {
     ...account,
     learn(vm, reports, limits) {
-      askedAtMs.set(vm, clock.steadyMs());
+      lastCallAtMs.set(vm, clock.steadyMs());
       reports.forEach((report) => {
         const { instanceId, directive, receivedAgoMs } = report;
         if (directive.kind === 'unnamed') recordUnnamed(vm, report);
-        else name(vm, instanceId, directive.perS, receivedAgoMs);
+        else recordNamed(vm, instanceId, directive.perS, receivedAgoMs);
       });
-      limits.forEach(({ instanceId, perS, namedAgoMs }) => name(vm, instanceId, perS, namedAgoMs));
+      limits.forEach(({ instanceId, perS, namedAgoMs }) =>
+        recordNamed(vm, instanceId, perS, namedAgoMs),
+      );
     },
     take(instanceId) {
       const isTaken = account.take(instanceId);
@@ -93,7 +95,7 @@
       return isTaken;
     },
     sweep() {
-      countAskers();
+      countActiveVms();
       account.sweep();
     },
     refund(instanceId) {
--- a/packages/entry/src/limits/permitFinder.ts
+++ b/packages/entry/src/limits/permitFinder.ts
@@ -1,27 +1,27 @@
 /**
- * Permits for plain requests to servers that named a limit: slots on a server as on a chain of one
- * engine, from the same account.
+ * Obtains permits for plain requests to rate-limited servers. A permit is a slot on a chain with
+ * the server as its only stage, granted by the same allocator.
  */
 import type { BackendFact } from '@spoolplank/membership';
 import type { Clock } from '@spoolplank/shared';
 import type { AdmittedRequest } from '../entryContext';
 import type { SlotClient, SlotOutcome, SlotRequest } from '../slots/slotClient';
 
-/** A request that may only go to servers with a limit. */
+/** A request for which all available servers are rate-limited. */
 export interface PermitSearch {
   readonly admitted: AdmittedRequest;
   /** Unique to the attempt. */
   readonly ticket: string;
-  /** Servers that it was at already. */
+  /** Servers that were already tried. */
   readonly excluded: ReadonlySet<string>;
-  /** Whether it may wait: once it may have run, it cannot be refused as not run. */
+  /** Whether it may wait. A request that may have run cannot be refused as not run afterwards. */
   readonly mayWait: boolean;
 }
 
-/** Servers that named a limit, of one or several data centres. */
+/** Rate-limited servers, of one or several data centres. */
 export type LimitedServers = readonly Pick<BackendFact, 'instanceId' | 'dataCentre'>[];
 
-/** Leave to send one request to a server. */
+/** Permission to send one request to a server. */
 export interface Permit {
   readonly instanceId: string;
   readonly dataCentre: string;
@@ -31,15 +31,15 @@
 export type PermitOutcome =
   | { readonly kind: 'permitted'; readonly permit: Permit }
   | { readonly kind: 'refused'; readonly retryInMs: number | null }
-  /** Nobody who gives out permits answered. */
+  /** No allocator answered. */
   | { readonly kind: 'unavailable' };
 
 export interface PermitFinder {
-  /** A permit for one of several servers in a data centre, where there is one now. */
+  /** Tries once to get a permit for one of several servers of one data centre. */
   look(search: PermitSearch, servers: LimitedServers): Promise<Permit | undefined>;
-  /** Waits for a permit for one of several servers, as long as that is of use to the caller. */
+  /** Waits for a permit for one of several servers, within the time limits of the request. */
   wait(search: PermitSearch, servers: LimitedServers): Promise<PermitOutcome>;
-  /** Records that the request of a permit has ended. */
+  /** Records that the request sent under a permit has ended. */
   end(permit: Permit): void;
 }
 
@@ -48,12 +48,12 @@
   readonly slots: Pick<SlotClient, 'find' | 'look' | 'recordReleased'>;
 }
 
-/** As long as a stream waits for a slot. */
+/** Equal to the time for which a stream waits for a slot. */
 const MAX_WAIT_MS = 1200;
-/** The other half of the time is for the run, and for another server when this one fails. */
-const MAX_SHARE = 0.5;
+/** Share of the remaining time spent on waiting; the rest is for the run, and for a failover. */
+const MAX_WAIT_SHARE = 0.5;
 /** A permit takes no memory. */
-const NO_SIZE = 0;
+const PERMIT_SIZE = 0;
 
 export function createPermitFinder({ clock, slots }: PermitFinderOptions): PermitFinder {
   function toRequest(search: PermitSearch, servers: LimitedServers): SlotRequest {
@@ -61,13 +61,13 @@
     const { answer, request, route, organisation, callerAgeMs, service, endsAtMs } = admitted;
     const { arrivedAtMs } = request;
     const nowMs = clock.nowMs();
-    const halfMs = nowMs + (endsAtMs - nowMs) * MAX_SHARE;
+    const latestWaitMs = nowMs + (endsAtMs - nowMs) * MAX_WAIT_SHARE;
     const dataCentres = [...new Set(servers.map(({ dataCentre }) => dataCentre))];
-    const leavesAtMs = Math.min(arrivedAtMs + MAX_WAIT_MS, halfMs);
+    const leavesAtMs = Math.min(arrivedAtMs + MAX_WAIT_MS, latestWaitMs);
     return {
       ticket,
       service,
-      size: NO_SIZE,
+      size: PERMIT_SIZE,
       priority: organisation?.priority ?? route.priority,
       hasBegun: false,
       isRetry: callerAgeMs > route.targetLatencyMs,
@@ -77,7 +77,7 @@
       heads: servers.map(({ instanceId }) => instanceId),
       excludedHeads: excluded,
       rankDataCentres: () => dataCentres.map((dataCentre) => ({ dataCentre, hasRoom: true })),
-      isGone: () => answer.isClosed || clock.nowMs() >= leavesAtMs,
+      isAbandoned: () => answer.isClosed || clock.nowMs() >= leavesAtMs,
     };
   }
 
--- a/packages/entry/src/limits/serverLimits.ts
+++ b/packages/entry/src/limits/serverLimits.ts
@@ -1,6 +1,6 @@
 /**
- * Limits that servers named to this VM with the answers to its requests, and what is sent to them
- * because of it. See docs/design/named-limits.md.
+ * Rate limits that servers set in their answers to this VM's requests, and this VM's own quota
+ * under them. See docs/design/named-limits.md.
  */
 import type { EventLog, Metrics } from '@spoolplank/node';
 import { createNamedLimits } from '@spoolplank/routing';
@@ -14,30 +14,30 @@
   readonly random: Random;
   readonly log: Pick<EventLog, 'info'>;
   readonly metrics: Pick<Metrics, 'count'>;
-  /** Known entries, this one included. */
+  /** Number of known entries, including this one. */
   readonly countEntries: () => number;
 }
 
 export interface ServerLimits {
-  /** Takes in what the answer to a request says, that was sent at a time on the steady clock. */
+  /** Records the directive in the answer to a request sent at `sentAtMs` on the steady clock. */
   recordAnswer(target: BackendTarget, directive: LimitDirective, sentAtMs: number): void;
-  /** The rate that a server named to this VM; null where none stands. */
+  /** The rate limit of a server as known to this VM; null if it has none. */
   perSOf(instanceId: string): number | null;
-  /** Whether this VM may send a request without a permit: there is no limit, or its own quota. */
+  /** Whether this VM may send without a permit: no limit applies, or it has some own quota left. */
   maySendAlone(instanceId: string): boolean;
-  /** Takes one request out of this VM's own quota; false when none is left. */
+  /** Takes one request from this VM's own quota; false if it is used up. */
   takeOwnQuota(instanceId: string): boolean;
-  /** Takes in that the account, asked at a time on the steady clock, knows of no limit. */
+  /** Records that the account, asked at `askedAtMs` on the steady clock, has no limit. */
   recordUnlimited(instanceId: string, askedAtMs: number): void;
-  /** What this VM believes, for the account. */
+  /** The limits known to this VM, for the account. */
   list(): readonly NamedLimit[];
-  /** Sets who is called with what is to be reported to the account of a server. */
+  /** Sets the listener for reports that must be sent to the account of a server. */
   onReport(listener: (report: PendingReport) => void): void;
   sweep(): void;
   describe(): JsonValue;
 }
 
-/** A directive on its way to the account; times on the steady clock of this VM. */
+/** A directive not yet reported to the account; times on the steady clock of this VM. */
 export interface PendingReport {
   readonly instanceId: string;
   readonly directive: LimitDirective;
@@ -45,7 +45,7 @@
   readonly receivedAtMs: number;
 }
 
-/** A pending report as it is sent now. */
+/** Converts a pending report for sending: its times become durations until `nowMs`. */
 export function toLimitReport(report: PendingReport, nowMs: number): LimitReport {
   const { instanceId, directive, sentAtMs, receivedAtMs } = report;
   const sentAgoMs = Math.round(nowMs - sentAtMs);
--- a/packages/entry/src/slots/allocatorRank.ts
+++ b/packages/entry/src/slots/allocatorRank.ts
@@ -1,34 +1,35 @@
-/** Which VM gives out the slots of a data centre, and who stands in for it. */
+/** Selects the VM that allocates the slots of a data centre, and its fallback. */
 import type { MemberFact } from '@spoolplank/membership';
 import { rankByRendezvous } from '@spoolplank/shared';
 import type { Clock } from '@spoolplank/shared';
 
 export interface AllocatorRankOptions {
   readonly clock: Clock;
-  /** Known entries. */
+  /** All known entry VMs. */
   readonly listEntries: () => readonly MemberFact[];
 }
 
 export interface AllocatorRank {
-  /** The VM to ask for slots of a data centre; undefined when there is none. */
+  /** The VM to ask for slots of a data centre; undefined if none is available. */
   find(dataCentre: string): MemberFact | undefined;
   /**
-   * The host of the VM that all others ask, as far as is known: one that is only silent to this VM
-   * may give out slots to others all the same.
+   * The host of the VM that the other VMs ask, as far as this VM knows. A VM that only times out
+   * here remains the owner, as it may still allocate slots to others.
    */
   findOwner(dataCentre: string): string | undefined;
-  /** Records that a VM answered. */
+  /** Records that a VM answered, which clears its failures. */
   recordAnswer(host: string): void;
   /**
-   * Records that a VM refuses connections, or has no configuration yet: the next one of its data
-   * centre stands in for a while.
+   * Records that a VM refuses connections or has no configuration yet. The next VM in the ranking
+   * replaces it for `UNAVAILABLE_MS`.
    */
-  recordGone(host: string): void;
+  recordUnavailable(host: string): void;
   /**
-   * Records that a VM did not answer in time. It may be overloaded, and so would its stand-in be:
-   * nobody is asked for a moment, and the next VM only after repeated silence.
+   * Records that a VM did not answer in time. It may be overloaded, and its fallback would be
+   * overloaded too, so no VM is asked for `TIMEOUT_BACKOFF_MS`; the next one is asked only after
+   * repeated timeouts.
    */
-  recordSilence(host: string): void;
+  recordTimeout(host: string): void;
 }
 
 interface Ranking {
@@ -36,35 +37,43 @@
   readonly order: readonly string[];
 }
 
-/** A VM that ended is unknown after 2.6 s; one that was only slow is asked again after this. */
-const GONE_FOR_MS = 2000;
-/** Answers are slow in the first second after a loss of all VMs. */
-const PAUSE_MS = 300;
-/** So many silences in a row are no passing load. */
-const MOST_SILENCES = 3;
+/**
+ * Time for which an unavailable VM is skipped. A VM that has stopped is removed from the member
+ * list after 2.6 s; one that was only slow is asked again after this time.
+ */
+const UNAVAILABLE_MS = 2000;
+/** Covers the first second after all VMs were lost, in which answers are slow. */
+const TIMEOUT_BACKOFF_MS = 300;
+/** Consecutive timeouts that short overload does not explain. */
+const MAX_TIMEOUTS = 3;
 
-/** What this VM saw of one that it asked. */
+/** Failures of another VM, as observed by this VM. */
 interface Health {
-  /** It refused a connection, or had no configuration: it gives out nothing. */
+  /** Until then the VM counts as refusing: it refused a connection or had no configuration. */
   readonly refusedUntilMs: number;
-  readonly goneUntilMs: number;
-  readonly pausedUntilMs: number;
-  readonly silences: number;
+  readonly unavailableUntilMs: number;
+  readonly backoffUntilMs: number;
+  readonly timeouts: number;
 }
 
-const HEALTHY: Health = { refusedUntilMs: 0, goneUntilMs: 0, pausedUntilMs: 0, silences: 0 };
+const HEALTHY: Health = {
+  refusedUntilMs: 0,
+  unavailableUntilMs: 0,
+  backoffUntilMs: 0,
+  timeouts: 0,
+};
 
 export function createAllocatorRank({ clock, listEntries }: AllocatorRankOptions): AllocatorRank {
   const healths = new Map<string, Health>();
-  const ranked = new Map<string, Ranking>();
+  const rankings = new Map<string, Ranking>();
 
-  /** Hashing sixty names for each request is dear: the order holds while the names are the same. */
+  /** Caches the order while the names are unchanged: hashing sixty names a request is expensive. */
   function rankHosts(dataCentre: string, hosts: readonly string[]): readonly string[] {
     const names = hosts.join(' ');
-    const known = ranked.get(dataCentre);
+    const known = rankings.get(dataCentre);
     if (known?.names === names) return known.order;
     const order = rankByRendezvous(dataCentre, hosts);
-    ranked.set(dataCentre, { names, order });
+    rankings.set(dataCentre, { names, order });
     return order;
   }
 
@@ -77,7 +86,10 @@
     );
   }
 
-  function orderOf(dataCentre: string, candidates: readonly MemberFact[]): readonly string[] {
+  function rankCandidates(
+    dataCentre: string,
+    candidates: readonly MemberFact[],
+  ): readonly string[] {
     return rankHosts(
       dataCentre,
       candidates.map(({ host }) => host),
@@ -87,37 +99,38 @@
   return {
     find(dataCentre) {
       const candidates = listCandidates(dataCentre);
-      const order = orderOf(dataCentre, candidates);
+      const order = rankCandidates(dataCentre, candidates);
       const nowMs = clock.nowMs();
-      const first = order.find((host) => healthOf(host).goneUntilMs <= nowMs);
-      if (first === undefined || healthOf(first).pausedUntilMs > nowMs) return undefined;
+      const first = order.find((host) => healthOf(host).unavailableUntilMs <= nowMs);
+      if (first === undefined || healthOf(first).backoffUntilMs > nowMs) return undefined;
       return candidates.find(({ host }) => host === first);
     },
     findOwner(dataCentre) {
       const nowMs = clock.nowMs();
-      return orderOf(dataCentre, listCandidates(dataCentre)).find(
+      return rankCandidates(dataCentre, listCandidates(dataCentre)).find(
         (host) => healthOf(host).refusedUntilMs <= nowMs,
       );
     },
     recordAnswer(host) {
       healths.delete(host);
     },
-    recordGone(host) {
-      const untilMs = clock.nowMs() + GONE_FOR_MS;
-      healths.set(host, { ...HEALTHY, refusedUntilMs: untilMs, goneUntilMs: untilMs });
+    recordUnavailable(host) {
+      const untilMs = clock.nowMs() + UNAVAILABLE_MS;
+      healths.set(host, { ...HEALTHY, refusedUntilMs: untilMs, unavailableUntilMs: untilMs });
     },
-    recordSilence(host) {
+    recordTimeout(host) {
       const nowMs = clock.nowMs();
-      const { pausedUntilMs, silences, goneUntilMs, refusedUntilMs } = healthOf(host);
-      // Asks that were under way together are one sign of silence.
-      if (pausedUntilMs > nowMs) return;
-      const isGone = silences + 1 >= MOST_SILENCES;
+      const { backoffUntilMs, timeouts, unavailableUntilMs, refusedUntilMs } = healthOf(host);
+      // Concurrent calls that time out together count as one timeout.
+      if (backoffUntilMs > nowMs) return;
+      const isUnavailable = timeouts + 1 >= MAX_TIMEOUTS;
       healths.set(host, {
         refusedUntilMs,
-        goneUntilMs: isGone ? nowMs + GONE_FOR_MS : goneUntilMs,
-        pausedUntilMs: isGone ? nowMs : nowMs + PAUSE_MS,
-        // One that was silent for long is tried by one ask, and left at once if that is lost too.
-        silences: silences + 1,
+        unavailableUntilMs: isUnavailable ? nowMs + UNAVAILABLE_MS : unavailableUntilMs,
+        backoffUntilMs: isUnavailable ? nowMs : nowMs + TIMEOUT_BACKOFF_MS,
+        // The count is kept, so that a VM that is retried after `UNAVAILABLE_MS` becomes
+        // unavailable again with its first timeout.
+        timeouts: timeouts + 1,
       });
     },
   };
--- a/packages/entry/src/slots/dataCentreRank.ts
+++ b/packages/entry/src/slots/dataCentreRank.ts
@@ -1,28 +1,28 @@
-/** Which data centre is asked first for a slot, by the capacity that each one states. */
+/** Ranks the data centres that a request asks for a slot, by the capacity that each publishes. */
 import type { Fact, CapacityFact, ServiceCapacity } from '@spoolplank/membership';
 
-/** A data centre that may have a slot. */
-export interface RatedDataCentre {
+/** A data centre that may have a free slot. */
+export interface RankedDataCentre {
   readonly dataCentre: string;
-  /** Whether it seems to have slots for more than the next request. */
+  /** Whether its published load is below `CAPACITY_SHARE`. */
   readonly hasRoom: boolean;
 }
 
 export interface DataCentreRankOptions {
-  /** The data centre of this VM: it stands in the list whatever is known of it. */
+  /** The data centre of this VM. It is always in the result, even if its capacity is unknown. */
   readonly own: string;
-  /** What each data centre stated, with its age counted as ages of others are. */
+  /** Capacities published by the data centres. */
   readonly capacities: readonly Fact<CapacityFact>[];
   readonly service: string;
-  /** Facts heard before this are too old to go by, on this VM's clock. */
+  /** Facts received before this time on this VM's clock are ignored as stale. */
   readonly oldestMs: number;
 }
 
-/** What the way to another data centre counts for, as a share of its capacity. */
+/** Cost of the network path to another data centre, as a share of its capacity. */
 const REMOTE_PENALTY = 0.25;
-/** Capacities are up to two seconds old: beyond this share it is as good as full. */
+/** Load above which a data centre is treated as full, as capacities are up to two seconds old. */
 const CAPACITY_SHARE = 0.8;
-/** A data centre without chains is asked last: one may just have come back. */
+/** Sorts the own data centre last while it has no chain; one may just have come back. */
 const NO_CHAIN_COST = 10;
 
 function costOf(service: ServiceCapacity | undefined): number {
@@ -30,8 +30,8 @@
   return (service.inFlight + service.waiting) / service.capacity;
 }
 
-/** Data centres in the order in which a request asks them. */
-export function rankDataCentres(options: DataCentreRankOptions): readonly RatedDataCentre[] {
+/** Returns the data centres in the order in which a request asks them. */
+export function rankDataCentres(options: DataCentreRankOptions): readonly RankedDataCentre[] {
   const { own, capacities, service, oldestMs } = options;
   const newest = new Map<string, Fact<CapacityFact>>();
   capacities.forEach((fact) => {
@@ -44,7 +44,7 @@
     .map((dataCentre) => {
       const known = newest.get(dataCentre)?.body.services[service];
       const isOwn = dataCentre === own;
-      // No capacity of the own one is known yet: it is asked all the same.
+      // The own data centre is asked first while its capacity is unknown.
       const cost = isOwn && !known ? 0 : costOf(known) + (isOwn ? 0 : REMOTE_PENALTY);
       return { dataCentre, cost, hasRoom: costOf(known) < CAPACITY_SHARE };
     })
--- a/packages/entry/src/slots/slotAccount.ts
+++ b/packages/entry/src/slots/slotAccount.ts
@@ -1,6 +1,6 @@
 /**
- * What the chains of a data centre have in flight, as far as the VM knows that gives out their
- * slots: its ledger, and what others report while the ledger may lack some of it.
+ * Tracks the load in flight on the chains of a data centre, on the VM that allocates their slots:
+ * its own ledger, and the load that VMs report for as long as the ledger may be incomplete.
  */
 import { createSlotLedger } from '@spoolplank/routing';
 import type { HeldSlot, SlotLedger } from '@spoolplank/routing';
@@ -8,54 +8,57 @@
 
 export interface SlotAccountOptions {
   readonly clock: Clock;
-  /** What all entries have reported as in flight on a chain. */
+  /** Total size in flight on a chain as reported by all entries. */
   readonly reportedInFlight: (headId: string) => number;
-  /** Whether this VM is the one whom all ask, by what it has heard. */
+  /** Whether this VM is the allocator of its data centre, as far as it knows. */
   readonly isFirst: () => boolean;
 }
 
 export interface SlotAccount extends SlotLedger {
-  /** Records that somebody called: an account that nobody used is gathered anew. */
+  /** Records a call of any VM. The first call after an idle period starts recovery. */
   recordUse(): void;
-  /** Sizes in flight on a chain; while the account may lack some, also what VMs report. */
+  /** Total size in flight on a chain; includes reported load while the account is incomplete. */
   inFlightOn(headId: string): number;
 }
 
-/** So long after the first call the account may lack what other VMs hold. */
-const GATHERING_MS = 1300;
-/** An account that nobody used for so long is gathered anew. */
-const IDLE_MS = 2600;
+/** Time after the first call during which slots held by other VMs may be missing. */
+const RECOVERY_MS = 1300;
+/** Idle time after which the account is recovered again from the calls of the holders. */
+const IDLE_RESET_MS = 2600;
 
 export function createSlotAccount(options: SlotAccountOptions): SlotAccount {
   const { clock, reportedInFlight, isFirst } = options;
   const ledger = createSlotLedger({ clock });
-  const inherited = new Map<string, number>();
-  const given = new Map<string, number>();
+  const reportedAtStart = new Map<string, number>();
+  const grantedSinceStart = new Map<string, number>();
   let usedAtMs = Number.NEGATIVE_INFINITY;
-  let gatheredAtMs = Number.NEGATIVE_INFINITY;
+  let recoveredAtMs = Number.NEGATIVE_INFINITY;
 
-  /** Whether everybody's slots are in the account: those who ask another VM are not. */
+  /** Whether the ledger has the slots of all VMs. It lacks those granted by another allocator. */
   function isComplete(): boolean {
-    return clock.nowMs() >= gatheredAtMs && isFirst();
+    return clock.nowMs() >= recoveredAtMs && isFirst();
   }
 
-  /** What VMs reported of a chain when the account began; the lists of its holders replace it. */
-  function inheritedOn(headId: string): number {
-    const known = inherited.get(headId) ?? reportedInFlight(headId);
-    inherited.set(headId, known);
-    return (known * Math.max(0, gatheredAtMs - clock.nowMs())) / GATHERING_MS;
+  /**
+   * Load reported for a chain when recovery started. Its weight falls linearly to zero during
+   * recovery, as the lists that the holders send replace it.
+   */
+  function inFlightAtStartOn(headId: string): number {
+    const known = reportedAtStart.get(headId) ?? reportedInFlight(headId);
+    reportedAtStart.set(headId, known);
+    return (known * Math.max(0, recoveredAtMs - clock.nowMs())) / RECOVERY_MS;
   }
 
-  /** What was given out on a chain while the account was not complete. */
-  function givenOn(headId: string): number {
-    return clock.nowMs() < gatheredAtMs ? (given.get(headId) ?? 0) : 0;
+  /** Total size granted on a chain since recovery started; zero once recovery has ended. */
+  function grantedSinceStartOn(headId: string): number {
+    return clock.nowMs() < recoveredAtMs ? (grantedSinceStart.get(headId) ?? 0) : 0;
   }
 
   return {
     grant(holder: string, slot: HeldSlot) {
       const { headId, size } = slot;
       ledger.grant(holder, slot);
-      given.set(headId, (given.get(headId) ?? 0) + size);
+      grantedSinceStart.set(headId, (grantedSinceStart.get(headId) ?? 0) + size);
     },
     report: ledger.report,
     giveUp: ledger.giveUp,
@@ -65,17 +68,21 @@
     },
     recordUse() {
       const nowMs = clock.nowMs();
-      if (nowMs - usedAtMs > IDLE_MS) {
-        gatheredAtMs = nowMs + GATHERING_MS;
-        inherited.clear();
-        given.clear();
+      if (nowMs - usedAtMs > IDLE_RESET_MS) {
+        recoveredAtMs = nowMs + RECOVERY_MS;
+        reportedAtStart.clear();
+        grantedSinceStart.clear();
       }
       usedAtMs = nowMs;
     },
     inFlightOn(headId) {
       const held = ledger.heldOn(headId);
       if (isComplete()) return held;
-      return Math.max(held, reportedInFlight(headId), inheritedOn(headId) + givenOn(headId));
+      return Math.max(
+        held,
+        reportedInFlight(headId),
+        inFlightAtStartOn(headId) + grantedSinceStartOn(headId),
+      );
     },
   };
 }
--- a/packages/entry/src/slots/slotAllocator.ts
+++ b/packages/entry/src/slots/slotAllocator.ts
@@ -1,8 +1,9 @@
 /**
- * Gives out the slots of a data centre's chains to all VMs, from one account and in one queue.
+ * Allocates the slots of a data centre's chains to all VMs, from one account and one queue for each
+ * service.
  *
- * The load pattern it answers: see `slotLedger`. With one queue over all VMs, who gets the next
- * slot is decided over everybody who waits, not by which VM looks first.
+ * `slotLedger` describes the load pattern that this handles. With one queue for all VMs, the next
+ * slot goes to the first of all waiting requests, not to the VM that polls first.
  */
 import type { ServiceCapacity } from '@spoolplank/membership';
 import { createRetryTurns } from '@spoolplank/routing';
@@ -23,70 +24,73 @@
   /** This VM. */
   readonly host: string;
   readonly limits: LimitAccount;
-  /** What all entries have reported as in flight on a chain. */
+  /** Total size in flight on a chain as reported by all entries. */
   readonly reportedInFlight: (headId: string) => number;
-  /** Whether this VM is the one whom all ask, by what it has heard. */
+  /** Whether this VM is the allocator of its data centre, as far as it knows. */
   readonly isFirst: () => boolean;
-  /** Whether this VM has a configuration; without one it knows no chains. */
+  /** Whether this VM has a configuration. Without one it has no chains to allocate. */
   readonly isConfigured: () => boolean;
 }
 
 export interface SlotAllocator {
   /**
-   * Takes in what a VM holds, and looks for a slot where it asks for one.
+   * Records the slots that a VM holds and, if the call contains an ask, looks for a slot.
    *
-   * @throws SpoolplankError `settings-stale` for an ask while this VM has no configuration: the
-   *   next VM is to be asked.
+   * @throws SpoolplankError `settings-stale` for an ask while this VM has no configuration. The
+   *   caller then asks the next VM.
    */
   answer(call: SlotCall): Promise<SlotReply>;
-  /** What the chains here hold for a service, and have now. */
+  /** Capacity and load of the local chains for a service. */
   capacityOf(service: string): ServiceCapacity;
-  /** Requests that stand in the queue. */
+  /** Number of queued requests. */
   readonly waiting: number;
-  /** VMs that hold slots here. */
+  /** Number of VMs that hold slots. */
   readonly holders: number;
 }
 
 interface Ticket {
-  /**
-   * As it was asked last: what backs off for the asking VM changes while it stands in the queue.
-   */
+  /** The latest ask: the chains that back off for the asking VM change while it is queued. */
   ask: SlotAsk;
   readonly leavesAtMs: number;
   lastAskedAtMs: number;
-  /** Null while it waits; then the slot, or undefined for none. */
+  /** Null while the request is queued; then the granted slot, or undefined if there was none. */
   outcome: { readonly slot: GrantedSlot | undefined } | null;
   settled: Promise<void>;
 }
 
-/** What an ask leaves out: asks that leave out the same find the same slots. */
-function excludesOf({ heads = [], excludedHeads, closedIds = [] }: SlotAsk): string {
+/** Identifies the chains that an ask excludes. Asks with equal keys can get the same slots. */
+function exclusionKeyOf({ heads = [], excludedHeads, closedIds = [] }: SlotAsk): string {
   return `${[...heads].sort().join(' ')}-${[...excludedHeads, ...closedIds].sort().join(' ')}`;
 }
 
 const keyOf = (holder: string, ticket: string): string => `${holder} ${ticket}`;
 
-/** Asks are held for half a second; one that is not repeated for so long has been given up. */
-const ASK_LOST_MS = 900;
-/** How often the queue looks for slots; an end is reported within some 30 ms. */
+/** Asks are repeated every half second; one not repeated for this long has been abandoned. */
+const ABANDONED_AFTER_MS = 900;
+/** Interval at which the queue looks for slots. A released slot is reported within about 30 ms. */
 const POLL_MS = 20;
-/** Bounds memory: far more than come within the time that a request may wait. */
-const MAX_WAITING = 600;
+/** Bounds memory; far more requests than arrive within the maximum waiting time. */
+const MAX_QUEUE_LENGTH = 600;
 
 export function createSlotAllocator(options: SlotAllocatorOptions): SlotAllocator {
   const { clock, delay, limits } = options;
-  const turns = createRetryTurns({ clock });
+  const retryTurns = createRetryTurns({ clock });
   const account = createSlotAccount(options);
   const slotChains = createSlotChains({ ...options, inFlightOn: account.inFlightOn });
   const permits = createSlotPermits({ limits });
   const queues = new Map<string, AdmissionQueue>();
   const tickets = new Map<string, Ticket>();
 
-  /** Requests of different services wait for different slots. */
+  /** Each service has its own queue, as its requests need slots on its own chains. */
   function queueOf(service: string): AdmissionQueue {
     const known = queues.get(service);
     if (known) return known;
-    const queue = createAdmissionQueue({ clock, delay, maxWaiting: MAX_WAITING, pollMs: POLL_MS });
+    const queue = createAdmissionQueue({
+      clock,
+      delay,
+      maxLength: MAX_QUEUE_LENGTH,
+      pollMs: POLL_MS,
+    });
     queues.set(service, queue);
     return queue;
   }
@@ -101,7 +105,7 @@
     return { grantedBy: options.host, headId, stages, capacity, inFlight, limitPerS };
   }
 
-  function enter(holder: string, ask: SlotAsk): Ticket {
+  function enqueue(holder: string, ask: SlotAsk): Ticket {
     const nowMs = clock.nowMs();
     const ticket: Ticket = {
       ask,
@@ -118,9 +122,9 @@
       leavesAtMs: ticket.leavesAtMs,
       isRetry: ask.isRetry,
       find: () => findSlot(holder, ticket.ask),
-      excludes: () => excludesOf(ticket.ask),
+      exclusionKey: () => exclusionKeyOf(ticket.ask),
       limitedPerS: () => slotChains.limitedRate(ticket.ask),
-      isGone: () => clock.nowMs() - ticket.lastAskedAtMs > ASK_LOST_MS,
+      isAbandoned: () => clock.nowMs() - ticket.lastAskedAtMs > ABANDONED_AFTER_MS,
     };
     ticket.settled = queueOf(ask.service)
       .enter(wait)
@@ -130,14 +134,14 @@
     return ticket;
   }
 
-  function explain(ask: SlotAsk, { leavesAtMs }: Ticket): SlotRefusal {
+  function refusalReasonOf(ask: SlotAsk, { leavesAtMs }: Ticket): SlotRefusal {
     if (slotChains.isTurnedAway(ask)) return 'turned-away';
     if (!slotChains.hasUsable(ask)) return 'no-chain';
     return clock.nowMs() < leavesAtMs ? 'hopeless' : 'time-over';
   }
 
-  /** Looks once: what is free goes to those who stand in the queue. */
-  function visit(holder: string, ask: SlotAsk): SlotReply {
+  /** Tries once without queueing; grants nothing while others are queued, as they come first. */
+  function tryOnce(holder: string, ask: SlotAsk): SlotReply {
     const queue = queueOf(ask.service);
     const slot = queue.length === 0 ? findSlot(holder, ask) : undefined;
     return slot ? { kind: 'granted', slot } : { kind: 'waiting', ahead: queue.length };
@@ -147,13 +151,13 @@
     const perS = slotChains.limitedRate(ask);
     const slotsPerS = queueOf(ask.service).slotsPerS();
     if (perS === null) return { kind: 'refused', reason, ahead, slotsPerS };
-    const retryInMs = turns.nextInMs(ask.service, perS, ahead);
+    const retryInMs = retryTurns.nextInMs(ask.service, perS, ahead);
     return { kind: 'refused', reason, ahead, slotsPerS: perS, retryInMs };
   }
 
-  async function stand(holder: string, ask: SlotAsk): Promise<SlotReply> {
+  async function waitInQueue(holder: string, ask: SlotAsk): Promise<SlotReply> {
     const key = keyOf(holder, ask.ticket);
-    const ticket = tickets.get(key) ?? enter(holder, ask);
+    const ticket = tickets.get(key) ?? enqueue(holder, ask);
     tickets.set(key, ticket);
     ticket.ask = ask;
     ticket.lastAskedAtMs = clock.nowMs();
@@ -163,7 +167,7 @@
     tickets.delete(key);
     const { slot } = ticket.outcome;
     if (slot) return { kind: 'granted', slot };
-    return refuse(ask, explain(ask, ticket), ahead);
+    return refuse(ask, refusalReasonOf(ask, ticket), ahead);
   }
 
   function end(holder: string, name: string): void {
@@ -173,15 +177,15 @@
     if (ticket) ticket.lastAskedAtMs = Number.NEGATIVE_INFINITY;
   }
 
-  /** Takes back what was given out for a request that was not sent. */
+  /** Releases the slot of a request that was not sent, and refunds its permit. */
   function giveUp(holder: string, name: string): void {
     permits.refund(holder, name);
     end(holder, name);
   }
 
-  /** Asks that nobody repeats leave the queue by themselves; what is left of them goes here. */
-  function forgetLost(): void {
-    const oldestMs = clock.nowMs() - ASK_LOST_MS;
+  /** Removes the tickets of settled asks that are not repeated; the queue drops the others. */
+  function removeAbandoned(): void {
+    const oldestMs = clock.nowMs() - ABANDONED_AFTER_MS;
     tickets.forEach(({ outcome, lastAskedAtMs }, key) => {
       if (outcome && lastAskedAtMs < oldestMs) tickets.delete(key);
     });
@@ -191,7 +195,7 @@
     async answer(call) {
       const { holder, sequence, slots, givenUp, ended = [], limitReports = [], ask } = call;
       account.recordUse();
-      forgetLost();
+      removeAbandoned();
       slotChains.recordAvoided(call);
       account.report(holder, { sequence, slots });
       permits.recordListed(holder, slots);
@@ -204,7 +208,7 @@
         giveUp(holder, ask.ticket);
         return refuse(ask, 'turned-away', queueOf(ask.service).length);
       }
-      return ask.mayWait ? stand(holder, ask) : visit(holder, ask);
+      return ask.mayWait ? waitInQueue(holder, ask) : tryOnce(holder, ask);
     },
     capacityOf: (service) => ({
       ...slotChains.capacityOf(service),
--- a/packages/entry/src/slots/slotChains.ts
+++ b/packages/entry/src/slots/slotChains.ts
@@ -1,9 +1,9 @@
 /**
- * Which chains of a data centre a request may get a slot on, and which of them is best.
+ * Determines which chains of a data centre may serve a request, and selects the best of them.
  *
- * The load pattern it answers: an engine turns requests of one VM away, or asks that VM for a
- * backoff. Others may well use it, so it is left out for that VM alone; an engine that refused a
- * request of this data centre is left out for all for a moment, or each VM finds it out by itself.
+ * A chain whose engine asked one VM for a backoff is excluded for that VM alone, as others may
+ * still use it. An engine that rejected a request of a VM in this data centre is excluded for all
+ * VMs for a short time; otherwise each VM would run into the same rejection.
  */
 import type { ServiceCapacity } from '@spoolplank/membership';
 import type { ModelDescription } from '@spoolplank/routing';
@@ -19,49 +19,50 @@
   readonly dataCentre: string;
   readonly chains: Pick<ChainChoice, 'listOf'>;
   readonly modelOf: (service: string) => ModelDescription | undefined;
-  /** Servers of a service without a model in this data centre. */
+  /** Servers in this data centre of a service without a model. */
   readonly listServers: (service: string) => readonly BackendTarget[];
-  /** Permits to send to servers of this data centre that named a limit. */
+  /** Permits for servers of this data centre that set a rate limit. */
   readonly limits: Pick<LimitAccount, 'perSOf' | 'ratePerS' | 'hasPermit'>;
-  /** Sizes in flight on a chain. */
+  /** Total size in flight on a chain. */
   readonly inFlightOn: (headId: string) => number;
-  /** Recent time to a first event on a chain, in milliseconds. */
+  /** Recent time to first event on a chain. */
   readonly firstEventMs: (headId: string) => number;
 }
 
 export interface SlotChains {
-  /** Records the engines that turned a request of an asking VM away. */
+  /** Records the engines that rejected a request of the asking VM. */
   recordAvoided(call: SlotCall): void;
-  /** The best chain with a slot for a request now; undefined when there is none. */
+  /** The best chain with a free slot for a request; undefined if there is none. */
   findBest(ask: SlotAsk): RatedChain | undefined;
-  /** Whether a request may get a slot on some chain, now or later. */
+  /** Whether some chain can serve the request, now or after waiting. */
   hasUsable(ask: SlotAsk): boolean;
   /**
-   * Whether a wait would be in vain while nothing changes but time. The rest of a begun stream
-   * waits for another chain than those that broke under it, which may be mended meanwhile.
+   * Whether every chain has rejected the request or is closed to the asking VM, so that waiting
+   * cannot help. Chains that failed under a stream that has begun do not count as rejecting it: the
+   * stream waits for another chain, and the failed ones may be repaired meanwhile.
    */
   isTurnedAway(ask: SlotAsk): boolean;
-  /** Slots a second that limits allow; null where some chain that may be used has none. */
+  /** Slots per second that rate limits allow; null if some usable chain has no limit. */
   limitedRate(ask: SlotAsk): number | null;
-  /** What the chains hold for a service with a model, and have in flight. */
+  /** Capacity and load in flight of the chains of a service with a model. */
   capacityOf(service: string): Pick<ServiceCapacity, 'capacity' | 'inFlight'>;
 }
 
-/** A number that goes through JSON, unlike an infinite one. */
+/** Stands for infinity, which JSON cannot represent. */
 const UNBOUNDED = Number.MAX_SAFE_INTEGER;
-/** Share of a chain that new streams may take; the rest is for those that have begun. */
+/** Share of a chain available to new streams; the rest is reserved for streams that have begun. */
 const ADMITTED_SHARE = 0.94;
 /**
- * How long an engine that rejected a request of one VM is left out for all, until it is known
- * whether it is lost: otherwise each VM would find out by itself.
+ * Time for which an engine that rejected a request of one VM is excluded for all VMs. By then it is
+ * known whether the engine is lost; without the exclusion each VM would find out by itself.
  */
 const AVOID_MS = 300;
-/** How long a stream usually takes. */
-const USUAL_STREAM_S = 3;
-/** A first event that takes so long counts as much as a chain that is full. */
+/** Typical duration of a stream. */
+const TYPICAL_STREAM_S = 3;
+/** Time to first event that adds as much cost as a full chain. */
 const SLOW_FIRST_EVENT_MS = 500;
 
-/** A server that needs no other one, as a chain of its own. */
+/** Represents a plain server as a chain with a single stage. */
 function toSingleChain({ instanceId, address }: BackendTarget): RatedChain {
   const stage = { id: instanceId, address, firstLayer: 0, endLayer: 0 };
   return { headId: instanceId, stages: [stage], capacity: UNBOUNDED };
@@ -71,7 +72,7 @@
   const { clock, dataCentre, chains, limits, inFlightOn } = options;
   const avoidedUntilMs = new Map<string, number>();
 
-  /** From another data centre the way to an engine may be at fault: no matter for others. */
+  /** Ignores other data centres: there, the network path rather than the engine may be at fault. */
   function recordAvoided({ dataCentre: from, ask }: SlotCall): void {
     if (from !== dataCentre || !ask) return;
     const untilMs = clock.nowMs() + AVOID_MS;
@@ -82,7 +83,7 @@
     return ask.avoidedIds.includes(id) || (avoidedUntilMs.get(id) ?? 0) > clock.nowMs();
   }
 
-  /** Whether the asking VM sends an engine of a chain nothing: others may well use it. */
+  /** Whether the asking VM must not send to an engine of the chain. Other VMs may still use it. */
   function isClosed({ stages }: RatedChain, { closedIds = [] }: SlotAsk): boolean {
     return closedIds.length > 0 && stages.some(({ id }) => closedIds.includes(id));
   }
@@ -92,18 +93,18 @@
     return !chain.stages.some(({ id }) => isAvoided(id, ask));
   }
 
-  function hasRoom({ headId, capacity }: RatedChain, { size, hasBegun }: SlotAsk): boolean {
+  function hasFreeSlot({ headId, capacity }: RatedChain, { size, hasBegun }: SlotAsk): boolean {
     const inFlight = inFlightOn(headId);
-    // A request larger than a chain is one that nothing else can serve either.
+    // An idle chain takes any request: one larger than its capacity fits on no other chain either.
     if (inFlight === 0) return true;
     return inFlight + size <= capacity * (hasBegun ? 1 : ADMITTED_SHARE);
   }
 
-  /** What a chain has in flight and may be sent within the time that a stream usually takes. */
+  /** Capacity of a chain, bounded by what its rate limit admits within the time of one stream. */
   function usableCapacity({ headId, capacity }: RatedChain): number {
     if (limits.perSOf(headId) === null) return capacity;
-    const soon = limits.ratePerS(headId) * USUAL_STREAM_S;
-    return Math.min(capacity, inFlightOn(headId) + soon);
+    const permittedSoon = limits.ratePerS(headId) * TYPICAL_STREAM_S;
+    return Math.min(capacity, inFlightOn(headId) + permittedSoon);
   }
 
   function costOf({ headId, capacity }: RatedChain): number {
@@ -112,8 +113,8 @@
   }
 
   /**
-   * The ask says whether it is for a chain or for plain servers: this VM may have an earlier
-   * configuration than the asking one, or none yet, and must not take an engine for a plain server.
+   * The ask itself says whether it is for a chain or for plain servers. This VM may have an older
+   * configuration than the asking VM, or none, and must not treat an engine as a plain server.
    */
   function listChains({ service, heads }: SlotAsk): readonly RatedChain[] {
     if (heads) {
@@ -131,9 +132,9 @@
 
   function isTurnedAway(ask: SlotAsk): boolean {
     const own = listChains(ask);
-    const isVain = (chain: RatedChain) =>
+    const isUnavailable = (chain: RatedChain) =>
       isClosed(chain, ask) || (!ask.hasBegun && ask.excludedHeads.includes(chain.headId));
-    return own.length > 0 && own.every(isVain);
+    return own.length > 0 && own.every(isUnavailable);
   }
 
   function limitedRate(ask: SlotAsk): number | null {
@@ -147,7 +148,7 @@
     recordAvoided,
     findBest(ask) {
       const free = listUsable(ask).filter(
-        (chain) => hasRoom(chain, ask) && limits.hasPermit(chain.headId),
+        (chain) => hasFreeSlot(chain, ask) && limits.hasPermit(chain.headId),
       );
       const [first, ...rest] = free;
       if (!first) return undefined;
--- a/packages/entry/src/slots/slotClient.ts
+++ b/packages/entry/src/slots/slotClient.ts
@@ -1,6 +1,6 @@
 /**
- * Finds slots for this VM's requests: from the account of each data centre, at the VM that keeps
- * it. Where nobody answers, the caller of this module decides by itself.
+ * Requests slots for this VM's requests from the allocator of each data centre. If no allocator
+ * answers, the outcome is `unavailable`, and the caller chooses a chain from local knowledge.
  */
 import type { MemberFact } from '@spoolplank/membership';
 import type { HeldSlot, NamedLimit } from '@spoolplank/routing';
@@ -9,10 +9,10 @@
 import type { PendingReport } from '../limits/serverLimits';
 import type { AllocatorRank } from './allocatorRank';
 import { createSlotOutbox } from './slotOutbox';
-import type { RatedDataCentre } from './dataCentreRank';
+import type { RankedDataCentre } from './dataCentreRank';
 import type { GrantedSlot, SlotAsk, SlotCall, SlotRefusal, SlotReply } from './slotMessages';
 
-/** A request that looks for a slot; times on this VM's clock. */
+/** A request that needs a slot; times on this VM's clock. */
 export interface SlotRequest {
   readonly ticket: string;
   readonly service: string;
@@ -23,13 +23,13 @@
   readonly arrivedAtMs: number;
   readonly inTimeUntilMs: number;
   readonly leavesAtMs: number;
-  /** The plain servers that it may go to; left out by a stream, which asks for a chain. */
+  /** Plain servers that may serve the request; undefined for a stream, which needs a chain. */
   readonly heads?: readonly string[];
   readonly excludedHeads: ReadonlySet<string>;
-  /** Data centres that have chains for it, the best one first; asked anew for each round. */
-  readonly rankDataCentres: () => readonly RatedDataCentre[];
-  /** Whether nobody waits for the slot any more. */
-  readonly isGone: () => boolean;
+  /** Data centres that have chains for the request, best first; called in each round. */
+  readonly rankDataCentres: () => readonly RankedDataCentre[];
+  /** Whether the request no longer needs a slot. */
+  readonly isAbandoned: () => boolean;
 }
 
 export interface RefusedSlot {
@@ -37,69 +37,71 @@
   readonly reason: SlotRefusal;
   readonly ahead: number;
   readonly slotsPerS: number;
-  /** When it is the caller's turn, where only limits hold it back, in milliseconds. */
+  /** When the caller should retry; set only if rate limits are all that delays the request. */
   readonly retryInMs?: number;
 }
 
 export type SlotOutcome =
   | { readonly kind: 'granted'; readonly chain: ChosenChain }
   | RefusedSlot
-  /** Nobody who gives out slots answered: this VM is on its own. */
+  /** No allocator answered. */
   | { readonly kind: 'unavailable' };
 
 export interface SlotClientOptions {
   readonly clock: Clock;
-  /** This VM and its run. */
+  /** Identifies this VM and the incarnation of its process. */
   readonly holder: string;
   readonly dataCentre: string;
   readonly rank: AllocatorRank;
   readonly call: (target: MemberFact, params: SlotCall, timeoutMs: number) => Promise<SlotReply>;
-  /** What this VM holds in a data centre now. */
+  /** Slots that this VM currently holds in a data centre. */
   readonly listHeld: (dataCentre: string) => readonly HeldSlot[];
-  /** Engines that this VM leaves out for now. */
+  /** Engines that this VM avoids for now, as they rejected a request. */
   readonly listAvoided: () => readonly string[];
   readonly schedule: (run: () => void, delayMs: number) => void;
-  /**
-   * Engines that this VM sends nothing now: they asked it for a backoff, or said that they leave.
-   */
+  /** Engines that this VM must not send to: they asked it for a backoff, or are leaving. */
   readonly listClosed: () => readonly string[];
-  /** Limits that servers of a data centre named to this VM. */
+  /** Rate limits that servers of a data centre set in their answers to this VM. */
   readonly listLimits: (dataCentre: string) => readonly NamedLimit[];
-  /** Called with a server that has no limit, as was known at a time on the steady clock. */
+  /** Called with a server for which the allocator, asked at a steady time, knows no limit. */
   readonly onUnlimited: (headId: string, askedAtMs: number) => void;
-  /** Called with a VM that did not answer. */
+  /** Called when a call to an allocator failed or timed out. */
   readonly onFailure: (target: MemberFact, problem: string) => void;
 }
 
 export interface SlotClient {
+  /** Waits for a slot in one of the ranked data centres until the request is abandoned. */
   find(request: SlotRequest): Promise<SlotOutcome>;
-  /** Looks once for a slot in a data centre, and waits for nothing. */
+  /** Tries once to get a slot in a data centre, without waiting in its queue. */
   look(request: SlotRequest, dataCentre: string): Promise<ChosenChain | undefined>;
-  /** Records that a slot of a data centre is held no longer: reported shortly after. */
+  /** Records that a slot was released; the next batch reports it to its data centre. */
   recordReleased(dataCentre: string, ticket: string): void;
-  /** Reports what a server said of its limit to the account of its data centre, shortly after. */
+  /** Adds a server's statement of its limit to the next batch for its data centre. */
   reportLimit(dataCentre: string, report: PendingReport): void;
-  /** Lets time pass: renews the leases that are due. */
+  /** Renews the leases that are due; called periodically. */
   tick(): void;
 }
 
-/** A lease lasts two of these and some more. */
+/** Interval at which leases are renewed; a lease lasts a little over twice as long. */
 const RENEW_MS = 1000;
-/** The way there and back takes 1 ms, a busy VM some more; a lost packet is not waited for. */
-const ANSWER_MS = 120;
+/** A round trip takes 1 ms, more on a busy VM. Too short to cover a retransmission, on purpose. */
+const ANSWER_TIMEOUT_MS = 120;
+/**
+ * Time for which the allocator holds a queued call. It bounds the time until a lost allocator is
+ * noticed, and is the interval at which each queued request repeats its call.
+ */
+const QUEUE_HOLD_MS = 500;
 /**
- * How long one call stands in the queue: a VM that is gone is noticed after it, and each waiting
- * request calls as often.
+ * Share of the timeout after which a failed call counts as timed out. A refused connection fails
+ * within milliseconds, and timers are off by at most 1 ms.
  */
-const HOLD_MS = 500;
-/** A refused connection fails within milliseconds; timers are off by one of them at most. */
-const SILENCE_SHARE = 0.9;
-/** The VM that is asked first, and the one that stands in for it. */
-const MAX_TRIES = 2;
-/** A first look, and one elsewhere, wait for nothing. */
-const LOOK_MS = 1;
+const TIMEOUT_SHARE = 0.9;
+/** The allocator and one fallback. */
+const MAX_ATTEMPTS = 2;
+/** The first call to a queue, and calls to other data centres, return without waiting. */
+const PROBE_HOLD_MS = 1;
 
-/** It stood in a queue until its time was over here. */
+/** Refusal of a request whose waiting time ended on this VM while it was queued. */
 const TIME_OVER: RefusedSlot = {
   kind: 'refused',
   reason: 'time-over',
@@ -107,27 +109,27 @@
   slotsPerS: 0,
 };
 
-/** One data centre to be asked, and whether the request is to stand in its queue. */
+/** A data centre to ask, and whether the request joins its queue. */
 interface Step {
   readonly dataCentre: string;
   readonly mayWait: boolean;
   readonly holdMs: number;
 }
 
-/** What is known while one request looks for a slot. */
+/** State of the search for one request. */
 interface Search {
   readonly request: SlotRequest;
-  /** Data centres that refused it, or whose VM did not answer. */
-  readonly closed: Set<string>;
-  /** Where it stands in the queue. */
-  home: string | undefined;
+  /** Data centres that refused the request, or whose allocator did not answer. */
+  readonly exhausted: Set<string>;
+  /** The data centre in whose queue the request waits. */
+  queuedAt: string | undefined;
   refusal: RefusedSlot | undefined;
 }
 
 export function createSlotClient(options: SlotClientOptions): SlotClient {
   const { clock, holder, rank } = options;
   const reportedAtMs = new Map<string, number>();
-  /** Tickets that were listed to a data centre last. */
+  /** Tickets in the last list that was sent to each data centre. */
   const listed = new Map<string, ReadonlySet<string>>();
   let sequence = 0;
   let sendReport = (_dataCentre: string): void => {};
@@ -146,27 +148,27 @@
     return { holder, dataCentre: options.dataCentre, sequence, slots, ...outbox.take(asked) };
   }
 
-  /** Calls the VM that keeps the account, or the one that stands in for it when that is silent. */
+  /** Calls the allocator of a data centre, or its fallback if the call fails. */
   async function callAllocator(
     dataCentre: string,
     ask: SlotAsk | undefined,
   ): Promise<SlotReply | undefined> {
-    for (let tries = 0; tries < MAX_TRIES; tries += 1) {
+    for (let tries = 0; tries < MAX_ATTEMPTS; tries += 1) {
       const target = rank.find(dataCentre);
       if (!target) return undefined;
       const params: SlotCall = { ...reportOf(dataCentre), ...(ask ? { ask } : {}) };
-      const timeoutMs = (ask?.holdMs ?? 0) + ANSWER_MS;
+      const timeoutMs = (ask?.holdMs ?? 0) + ANSWER_TIMEOUT_MS;
       const sentAtMs = clock.nowMs();
       try {
         const reply = await options.call(target, params, timeoutMs);
         rank.recordAnswer(target.host);
         return reply;
       } catch (error) {
-        const isSilent = clock.nowMs() - sentAtMs >= timeoutMs * SILENCE_SHARE;
-        if (isSilent) rank.recordSilence(target.host);
-        else rank.recordGone(target.host);
+        const isTimeout = clock.nowMs() - sentAtMs >= timeoutMs * TIMEOUT_SHARE;
+        if (isTimeout) rank.recordTimeout(target.host);
+        else rank.recordUnavailable(target.host);
         options.onFailure(target, error instanceof Error ? error.message : String(error));
-        // Its answer may only have been late, with a slot.
+        // The late answer may have granted a slot, which must be released.
         if (ask) outbox.giveUp(dataCentre, ask.ticket);
       }
     }
@@ -202,23 +204,26 @@
     return { ...slot, dataCentre, hasPermit, hasRoom: true, hasRoomForBegun: true };
   }
 
-  /** The next round: the queue of one data centre, and a look at others that seem to have room. */
+  /**
+   * Plans the next round: a call to the queue of one data centre, and one non-waiting call to each
+   * other data centre that seems to have free slots.
+   */
   function planSteps(search: Search): readonly Step[] {
-    const { request, closed, home } = search;
-    const open = request.rankDataCentres().filter(({ dataCentre }) => !closed.has(dataCentre));
-    const stays = open.some(({ dataCentre }) => dataCentre === home);
-    const next = stays ? home : open[0]?.dataCentre;
+    const { request, exhausted, queuedAt } = search;
+    const open = request.rankDataCentres().filter(({ dataCentre }) => !exhausted.has(dataCentre));
+    const isStillOpen = open.some(({ dataCentre }) => dataCentre === queuedAt);
+    const next = isStillOpen ? queuedAt : open[0]?.dataCentre;
     if (next === undefined) return [];
-    const isFirstLook = next !== home;
-    search.home = next;
+    const isFirstCall = next !== queuedAt;
+    search.queuedAt = next;
     const others = open.filter(({ dataCentre, hasRoom }) => hasRoom && dataCentre !== next);
     return [
-      { dataCentre: next, mayWait: true, holdMs: isFirstLook ? LOOK_MS : HOLD_MS },
-      ...others.map(({ dataCentre }) => ({ dataCentre, mayWait: false, holdMs: LOOK_MS })),
+      { dataCentre: next, mayWait: true, holdMs: isFirstCall ? PROBE_HOLD_MS : QUEUE_HOLD_MS },
+      ...others.map(({ dataCentre }) => ({ dataCentre, mayWait: false, holdMs: PROBE_HOLD_MS })),
     ];
   }
 
-  async function take(search: Search, step: Step): Promise<ChosenChain | undefined> {
+  async function askDataCentre(search: Search, step: Step): Promise<ChosenChain | undefined> {
     const { dataCentre } = step;
     const askedAtMs = clock.steadyMs();
     const reply = await callAllocator(dataCentre, toAsk(search.request, step));
@@ -227,7 +232,7 @@
       if (limitPerS === null) options.onUnlimited(headId, askedAtMs);
       return toChain(dataCentre, reply.slot);
     }
-    if (reply?.kind !== 'waiting') search.closed.add(dataCentre);
+    if (reply?.kind !== 'waiting') search.exhausted.add(dataCentre);
     if (reply?.kind === 'refused') search.refusal = reply;
     return undefined;
   }
@@ -238,36 +243,46 @@
 
   return {
     async find(request) {
-      const search: Search = { request, closed: new Set(), home: undefined, refusal: undefined };
-      while (!request.isGone()) {
+      const search: Search = {
+        request,
+        exhausted: new Set(),
+        queuedAt: undefined,
+        refusal: undefined,
+      };
+      while (!request.isAbandoned()) {
         const steps = planSteps(search);
         if (steps.length === 0) break;
         for (const step of steps) {
-          const chain = await take(search, step);
+          const chain = await askDataCentre(search, step);
           if (chain) {
-            const { home } = search;
-            // Leaves the queue there, or returns a slot that came too late.
-            if (home !== undefined && home !== chain.dataCentre) {
-              outbox.giveUp(home, request.ticket);
+            const { queuedAt } = search;
+            // Leaves the queue of the other data centre, or returns a slot that it granted since.
+            if (queuedAt !== undefined && queuedAt !== chain.dataCentre) {
+              outbox.giveUp(queuedAt, request.ticket);
             }
             return { kind: 'granted', chain };
           }
         }
       }
-      const { home } = search;
-      if (home === undefined || search.closed.has(home)) {
+      const { queuedAt } = search;
+      if (queuedAt === undefined || search.exhausted.has(queuedAt)) {
         return search.refusal ?? { kind: 'unavailable' };
       }
-      outbox.giveUp(home, request.ticket);
+      outbox.giveUp(queuedAt, request.ticket);
       return search.refusal ?? TIME_OVER;
     },
     look(request, dataCentre) {
-      const search: Search = { request, closed: new Set(), home: undefined, refusal: undefined };
-      return take(search, { dataCentre, mayWait: false, holdMs: LOOK_MS });
+      const search: Search = {
+        request,
+        exhausted: new Set(),
+        queuedAt: undefined,
+        refusal: undefined,
+      };
+      return askDataCentre(search, { dataCentre, mayWait: false, holdMs: PROBE_HOLD_MS });
     },
     recordReleased(dataCentre, ticket) {
-      // One that ended before it was ever listed counted as held for 1.3 s: a request that is
-      // turned away within 3 ms then cost its chain a slot for that time.
+      // A ticket that was never listed is reported explicitly. Otherwise the account would count it
+      // as held for 1.3 s, so a request rejected within 3 ms would block a slot for that time.
       if (!listed.get(dataCentre)?.has(ticket)) outbox.end(dataCentre, ticket);
       outbox.recordChange(dataCentre);
     },
--- a/packages/entry/src/slots/slotFinder.ts
+++ b/packages/entry/src/slots/slotFinder.ts
@@ -1,6 +1,6 @@
 /**
- * Finds a chain for a stream, or says when its caller is to come back. Slots come from the account
- * of a data centre; an entry that reaches nobody who keeps one decides by what it knows itself.
+ * Finds a chain for a stream, or tells its caller when to retry. Slots are granted by the allocator
+ * of a data centre; an entry that reaches no allocator chooses a chain from its own knowledge.
  */
 import type { Clock, ErrorCode, Random } from '@spoolplank/shared';
 import { SpoolplankError } from '@spoolplank/shared';
@@ -11,7 +11,7 @@
 import { createBackoffWaits } from '../admission/backoffWaits';
 import type { StreamTable } from '../dispatch/streamTable';
 import { createAdmissionQueue } from '../admission/admissionQueue';
-import type { RatedDataCentre } from './dataCentreRank';
+import type { RankedDataCentre } from './dataCentreRank';
 import type { SlotClient, SlotOutcome, SlotRequest } from './slotClient';
 import type { SlotRefusal } from './slotMessages';
 
@@ -23,55 +23,56 @@
   readonly chains: ChainChoice;
   readonly slots: SlotClient;
   readonly backoffs: Pick<BackoffTable, 'retryAfterMs' | 'isEmpty'>;
-  /** Whether some VM gives out the slots of a data centre. */
+  /** Whether some VM allocates the slots of a data centre. */
   readonly hasAllocator: (dataCentre: string) => boolean;
-  /** Data centres that may have a slot for a service, the best one first. */
-  readonly rankDataCentres: (service: string) => readonly RatedDataCentre[];
+  /** Data centres that may have a slot for a service, best first. */
+  readonly rankDataCentres: (service: string) => readonly RankedDataCentre[];
 }
 
-/** A request that looks for a slot, and what it has tried. */
+/** A request that needs a slot, and the chains that it has tried. */
 export interface SlotSearch {
   readonly admitted: AdmittedRequest;
   readonly model: ModelDescription;
   /** Unique to the attempt. */
   readonly ticket: string;
-  /** First engines of chains that it was on already. */
+  /** First engines of the chains that were already tried. */
   readonly excludedHeads: ReadonlySet<string>;
-  /** Whether it is not to be run any more. */
+  /** Whether the request must not be run any more. */
   readonly isUnwanted: () => boolean;
 }
 
 export interface SlotFinder {
   /**
-   * The chain for a new stream. Slots come free many times a second, and a hole in a chain is
-   * filled in about a second: a short wait serves most of those that would else be refused.
+   * Finds the chain for a new stream. Slots are released many times a second, and a gap in a chain
+   * is filled in about a second, so a short wait serves most requests that would otherwise be
+   * refused.
    *
-   * @throws SpoolplankError that the caller is refused with, and when it is to come back.
+   * @throws SpoolplankError the refusal for the caller, with the time after which it should retry.
    */
   toBegin(search: SlotSearch): Promise<ChosenChain | undefined>;
   /**
-   * The chain for the rest of a stream that its caller has a part of. It waits for a chain with
-   * room, or for one under repair: its pause is long already, and all streams of a lost engine at
-   * once would delay the others. In the end it takes a full chain rather than break the stream off,
-   * as it was admitted.
+   * Finds the chain on which a partly delivered stream continues. Waits for a chain with free
+   * capacity, or for one under repair: moving all streams of a lost engine onto full chains at once
+   * would delay the other streams there, and the stream is paused already. Once
+   * `MAX_STREAM_PAUSE_MS` has passed it takes a full chain rather than abort an admitted stream.
    */
   toResume(search: SlotSearch, silentSinceMs: number): Promise<ChosenChain | undefined>;
-  /** When the caller of a request that no chain took is to come back, in milliseconds. */
+  /** Time after which the caller of a request that no chain accepted should retry. */
   retryAfterMs(search: Pick<SlotSearch, 'admitted' | 'model'>): number;
 }
 
-/** Of the two seconds for which callers wait for a first event, without a failed first attempt. */
+/** Callers wait two seconds for a first event; the rest of that is for one failed attempt. */
 const MAX_ADMISSION_WAIT_MS = 1200;
 const ADMISSION_POLL_MS = 15;
-/** Nine in ten first events come within one and a half times the mean. */
+/** Ratio of the 90th percentile of the time to first event to its mean. */
 const FIRST_EVENT_SPREAD = 1.5;
-/** About two seconds of a busy entry's traffic. */
-const MAX_WAITING = 30;
+/** About two seconds of the traffic of a busy entry. */
+const MAX_QUEUE_LENGTH = 30;
 /**
- * How long a begun stream may have been silent while it waits for room: callers give up after two
- * seconds, and reading the prompt again may take half a second on a full chain.
+ * Longest pause of a begun stream that waits for free capacity. Callers give up after two seconds,
+ * and the prefill may take half a second again on a full chain.
  */
-const MAX_SILENCE_MS = 1400;
+const MAX_STREAM_PAUSE_MS = 1400;
 const CHAIN_POLL_MS = 50;
 const MS_PER_S = 1000;
 const NONE_EXCLUDED: ReadonlySet<string> = new Set();
@@ -88,7 +89,7 @@
   const queue = createAdmissionQueue({
     clock,
     delay,
-    maxWaiting: MAX_WAITING,
+    maxLength: MAX_QUEUE_LENGTH,
     pollMs: ADMISSION_POLL_MS,
   });
   const backoffWaits = createBackoffWaits({ clock, delay, backoffs });
@@ -111,11 +112,11 @@
       leavesAtMs,
       excludedHeads,
       rankDataCentres: () => options.rankDataCentres(service),
-      isGone: () => answer.isClosed || search.isUnwanted() || clock.nowMs() >= leavesAtMs,
+      isAbandoned: () => answer.isClosed || search.isUnwanted() || clock.nowMs() >= leavesAtMs,
     };
   }
 
-  function chooseWithRoom(
+  function chooseWithCapacity(
     { admitted, model, excludedHeads }: SlotSearch,
     isWanted?: (dataCentre: string) => boolean,
   ): ChosenChain | undefined {
@@ -123,15 +124,15 @@
     return chain?.hasRoom ? chain : undefined;
   }
 
-  /** Looks where nobody gives out slots: in data centres that have engines and no VMs. */
+  /** Chooses a chain in data centres without an allocator, which have engines but no VMs. */
   function findUnallocated(search: SlotSearch): ChosenChain | undefined {
-    return chooseWithRoom(search, (dataCentre) => !options.hasAllocator(dataCentre));
+    return chooseWithCapacity(search, (dataCentre) => !options.hasAllocator(dataCentre));
   }
 
-  /** Decides by what this entry knows itself. */
-  function findAlone(search: SlotSearch, request: SlotRequest): Promise<ChosenChain | undefined> {
-    const { isGone } = request;
-    return queue.enter({ ...request, isGone, find: () => chooseWithRoom(search) });
+  /** Queues the request on this entry, which chooses a chain from its own knowledge. */
+  function findLocally(search: SlotSearch, request: SlotRequest): Promise<ChosenChain | undefined> {
+    const { isAbandoned } = request;
+    return queue.enter({ ...request, isAbandoned, find: () => chooseWithCapacity(search) });
   }
 
   async function findChain(
@@ -140,12 +141,12 @@
     outcome: SlotOutcome,
   ): Promise<ChosenChain | undefined> {
     if (outcome.kind === 'granted') return outcome.chain;
-    if (outcome.kind === 'unavailable') return findAlone(search, request);
-    const isOver = search.admitted.answer.isClosed || search.isUnwanted();
-    return isOver ? undefined : findUnallocated(search);
+    if (outcome.kind === 'unavailable') return findLocally(search, request);
+    const isCancelled = search.admitted.answer.isClosed || search.isUnwanted();
+    return isCancelled ? undefined : findUnallocated(search);
   }
 
-  /** Time until those who wait ahead have got slots, at the rate of the last seconds. */
+  /** Estimated time until the requests ahead have slots, at the recent rate of grants. */
   function forecastMs(outcome: SlotOutcome): number {
     if (outcome.kind !== 'refused' || outcome.slotsPerS <= 0) return 0;
     return (outcome.ahead / outcome.slotsPerS) * MS_PER_S;
@@ -163,7 +164,7 @@
     return new SpoolplankError(REFUSAL_CODES[reason], { detail, retryAfterMs });
   }
 
-  /** Looking through the chains of all data centres takes up to 5 ms where engines have changed. */
+  /** Skips the search over all chains, which takes up to 5 ms after a change, if none backs off. */
   function backoffEndsInMs(
     { admitted, model }: Pick<SlotSearch, 'admitted' | 'model'>,
     excludedHeads: ReadonlySet<string>,
@@ -189,7 +190,7 @@
     },
     async toResume(search, silentSinceMs) {
       const { admitted, model, excludedHeads } = search;
-      const endsAtMs = silentSinceMs + MAX_SILENCE_MS;
+      const endsAtMs = silentSinceMs + MAX_STREAM_PAUSE_MS;
       const outcome = await slots.find(toRequest(search, endsAtMs, true));
       if (outcome.kind === 'granted') return outcome.chain;
       let chain = chains.choose(admitted.service, model, excludedHeads);
--- a/packages/entry/src/slots/slotMessages.ts
+++ b/packages/entry/src/slots/slotMessages.ts
@@ -1,91 +1,90 @@
-/** What VMs say to the one that gives out the slots of a data centre's chains, and its answers. */
+/** Messages between VMs and the allocator of a data centre's slots. */
 import type { HoldingsReport, NamedLimit, PathStage } from '@spoolplank/routing';
 import type { LimitReport } from '../limits/limitAccount';
 
-/** One request that looks for a slot. Times are durations from now, in milliseconds. */
+/** One request that needs a slot. Times are durations relative to the moment of sending. */
 export interface SlotAsk {
-  /** Unique among the asks of a VM; the same while it asks again. */
+  /** Unique among the asks of a VM; unchanged when the ask is repeated. */
   readonly ticket: string;
   readonly service: string;
-  /** Memory that it takes, against a request of usual size. */
+  /** Memory that the request needs, relative to a request of typical size. */
   readonly size: number;
   /** 0 is the highest. */
   readonly priority: number;
-  /** The rest of a stream that its caller has a part of. */
+  /** Whether the caller has already received a part of the stream. */
   readonly hasBegun: boolean;
-  /** Whether its caller has tried before. */
+  /** Whether the caller has tried before. */
   readonly isRetry: boolean;
   readonly waitedMs: number;
-  /** How long a slot still leads to a first event within the target; negative when it is late. */
+  /** Time left in which a slot still meets the latency target; negative if it is too late. */
   readonly inTimeForMs: number;
   readonly leavesInMs: number;
-  /** The plain servers that it may go to; left out by a stream, which asks for a chain. */
+  /** Plain servers that may serve the request; undefined for a stream, which needs a chain. */
   readonly heads?: readonly string[];
-  /** First engines of chains that it was on already. */
+  /** First engines of the chains that were already tried. */
   readonly excludedHeads: readonly string[];
-  /** Engines that the asking VM leaves out for now. */
+  /** Engines that the asking VM avoids for now, as they rejected a request. */
   readonly avoidedIds: readonly string[];
-  /** Engines that the asking VM sends nothing now, as they said so to it; others may use them. */
+  /** Engines that asked this VM alone for a backoff, or are leaving; other VMs may use them. */
   readonly closedIds?: readonly string[];
-  /** Limits that servers named to the asking VM. */
+  /** Rate limits that servers set in their answers to the asking VM. */
   readonly limits?: readonly NamedLimit[];
-  /** Whether it stands in the queue when there is no slot now. */
+  /** Whether the request is queued if there is no free slot. */
   readonly mayWait: boolean;
-  /** How long the answer may be held back for a slot. */
+  /** How long the allocator may hold back its answer until there is a slot. */
   readonly holdMs: number;
 }
 
-/** A list of all slots that a VM holds in a data centre, with or without an ask. */
+/** Lists all slots that a VM holds in a data centre; may contain an ask. */
 export interface SlotCall extends HoldingsReport {
-  /** The asking VM and its run. */
+  /** Identifies the calling VM and the incarnation of its process. */
   readonly holder: string;
-  /** Where the asking VM is. */
+  /** The data centre of the calling VM. */
   readonly dataCentre: string;
-  /** Tickets that are no longer wanted; nothing was sent for them. */
+  /** Cancelled tickets, whose requests were not sent. */
   readonly givenUp: readonly string[];
   /** Tickets of requests that ended before they were ever listed. */
   readonly ended?: readonly string[];
-  /** What servers of the data centre said of limits since the last call. */
+  /** Statements of the data centre's servers about their limits since the last call. */
   readonly limitReports?: readonly LimitReport[];
   readonly ask?: SlotAsk;
 }
 
-/** A slot that was given out. */
 export interface GrantedSlot {
-  /** The VM that gave it out. */
+  /** The VM that granted the slot. */
   readonly grantedBy: string;
   readonly headId: string;
   readonly stages: readonly PathStage[];
   readonly capacity: number;
-  /** Sizes in flight there, this one included. */
+  /** Total size in flight on the chain, including this slot. */
   readonly inFlight: number;
-  /** The limit of its first server that the slot is a permit for; null where none stands. */
+  /** The rate limit of the first server, under which the slot is a permit; null if it has none. */
   readonly limitPerS: number | null;
 }
 
-/** Why a request gets no slot. */
+/** Why a request was refused a slot. */
 export type SlotRefusal =
-  /** It would wait in vain, by the rate at which slots come free. */
+  /** At the rate at which slots are released, the request would wait longer than it can. */
   | 'hopeless'
   /** No chain of the data centre has all layers. */
   | 'no-chain'
-  /** Each chain there has turned the request away, or wants nothing from the asking VM now. */
+  /** Each chain has rejected the request, or backs off for the asking VM. */
   | 'turned-away'
-  /** Its time to wait is over. */
+  /** The request has waited for as long as it can. */
   | 'time-over';
 
 export type SlotReply =
   | { readonly kind: 'noted' }
   | { readonly kind: 'granted'; readonly slot: GrantedSlot }
-  /** There is no slot now; it stands in the queue if it may, and is to be asked again. */
+  /** No slot is free. The request is queued if it may wait; the caller repeats the ask. */
   | { readonly kind: 'waiting'; readonly ahead: number }
   | {
       readonly kind: 'refused';
       readonly reason: SlotRefusal;
       readonly ahead: number;
-      /** Slots that come free a second, lately, or that limits allow. */
+      /** Recent rate at which slots are granted, or the rate that limits allow. */
       readonly slotsPerS: number;
-      /** When it is the caller's turn, where only limits hold it back, in milliseconds. */
+      /** When the caller should retry; set only if rate limits are all that delays the request. */
       readonly retryInMs?: number;
     };
 
--- a/packages/entry/src/slots/slotOutbox.ts
+++ b/packages/entry/src/slots/slotOutbox.ts
@@ -1,4 +1,4 @@
-/** What is sent with the next call to the VM that keeps the account of a data centre. */
+/** Collects the reports to send with the next call to the allocator of a data centre. */
 import type { Clock } from '@spoolplank/shared';
 import { toLimitReport } from '../limits/serverLimits';
 import type { PendingReport } from '../limits/serverLimits';
@@ -7,28 +7,28 @@
 export interface SlotOutboxOptions {
   readonly clock: Pick<Clock, 'steadyMs'>;
   readonly schedule: (run: () => void, delayMs: number) => void;
-  /** Calls a data centre where something is to be reported and no ask has taken it along. */
+  /** Calls the allocator of a data centre if no ask has carried the pending reports meanwhile. */
   readonly call: (dataCentre: string) => void;
 }
 
 export interface SlotOutbox {
-  /** A ticket is no longer wanted; nothing was sent for it. */
+  /** Cancels a ticket whose request was not sent. */
   giveUp(dataCentre: string, ticket: string): void;
-  /** A request ended before its slot was ever listed. */
+  /** Reports a request that ended before its slot was ever listed. */
   end(dataCentre: string, ticket: string): void;
-  /** A server said something of its limit. */
+  /** Reports a server's statement about its limit. */
   report(dataCentre: string, report: PendingReport): void;
-  /** The slots that are held there are others than before. */
+  /** Records that the slots held in a data centre changed. */
   recordChange(dataCentre: string): void;
-  /** Takes all that is to be reported to a data centre. */
+  /** Removes and returns all pending reports for a data centre. */
   take(dataCentre: string): Pick<SlotCall, 'givenUp' | 'ended' | 'limitReports'>;
 }
 
-/** What comes up within so long is reported together, in milliseconds. */
+/** Reports within this time are sent in one call. */
 const BATCH_MS = 30;
 
-/** Lists by data centre that are emptied as they are read. */
-function createLists<Item>() {
+/** Creates lists by data centre; taking a list empties it. */
+function createPendingLists<Item>() {
   const lists = new Map<string, Item[]>();
   return {
     add(dataCentre: string, item: Item): void {
@@ -44,9 +44,9 @@
 
 export function createSlotOutbox({ clock, schedule, call }: SlotOutboxOptions): SlotOutbox {
   const changed = new Set<string>();
-  const givenUp = createLists<string>();
-  const ended = createLists<string>();
-  const reports = createLists<PendingReport>();
+  const givenUp = createPendingLists<string>();
+  const ended = createPendingLists<string>();
+  const reports = createPendingLists<PendingReport>();
   let isFlushDue = false;
 
   function recordChange(dataCentre: string): void {
--- a/packages/entry/src/slots/slotService.ts
+++ b/packages/entry/src/slots/slotService.ts
@@ -1,4 +1,4 @@
-/** The slots of chains on one entry: what it gives out to others, and what it looks for itself. */
+/** Slot allocation on one entry: the allocator that serves other VMs, and the client of this VM. */
 import { FACT_KEYS } from '@spoolplank/membership';
 import type { FactUpdate, MemberFact, CapacityFact, SystemFact } from '@spoolplank/membership';
 import { delay, scheduleTimer } from '@spoolplank/node';
@@ -34,18 +34,18 @@
   readonly view: RoutingView;
   readonly streams: StreamTable;
   readonly chains: ChainChoice;
-  /** Engines that this entry leaves out for now. */
+  /** Engines that this entry avoids for now, as they rejected a request. */
   readonly listAvoided: () => readonly string[];
-  /** Engines that this entry sends nothing now, as they said so. */
+  /** Engines that this entry must not send to: they asked it for a backoff, or are leaving. */
   readonly listClosed: () => readonly string[];
   readonly backoffs: BackoffTable;
-  /** Limits that servers named to this VM. */
+  /** Rate limits that servers set in their answers to this VM. */
   readonly limits: ServerLimits;
-  /** Known entries, this one included. */
+  /** Number of known entries, including this one. */
   readonly countEntries: () => number;
-  /** The data centre of a server; undefined where it is not known. */
+  /** The data centre of a server; undefined if unknown. */
   readonly dataCentreOf: (instanceId: string) => string | undefined;
-  /** Whether this VM has lately exchanged facts with all others. */
+  /** Whether this VM has recently exchanged facts with all others. */
   readonly isSettled: () => boolean;
 }
 
@@ -53,30 +53,31 @@
   readonly finder: SlotFinder;
   /** Permits for requests to plain servers. */
   readonly permits: PermitFinder;
-  /** The VM that gives out the slots of a data centre; undefined when there is none. */
+  /** The VM that allocates the slots of a data centre; undefined if there is none. */
   findAllocator(dataCentre: string): MemberFact | undefined;
-  /** What other entries call here. */
+  /** Methods that other entries call on this VM. */
   readonly methods: Readonly<Record<string, PeerMethod>>;
   /** Records that a stream over a chain of a data centre ended. */
   recordReleased(dataCentre: string, ticket: string): void;
-  /** Lets time pass: renews the leases that are due. */
+  /** Renews the leases that are due; called periodically. */
   tick(): void;
-  /** Forgets limits that are over. */
+  /** Removes expired limits. */
   sweep(): void;
-  /** What this VM states of the capacity of its data centre, where it gives out the slots. */
+  /** The capacity of this data centre to publish; empty unless this VM is its allocator. */
   listStatements(): readonly FactUpdate<SystemFact>[];
   describe(): JsonValue;
 }
 
-/** Statements come every 800 ms over two control VMs; one may be lost. */
+/** Capacities are published every 800 ms through two control VMs; one of them may be lost. */
 const CAPACITY_LIFETIME_MS = 3500;
 
 export function createSlotService(options: SlotServiceOptions): SlotService {
   const { clock, log, metrics, peers, host, run, dataCentre, view, streams, chains } = options;
   const { limits } = options;
 
-  // Rises from one incarnation to the next, so that a late statement is never the newer one.
-  let statements = Math.floor(clock.wallMs());
+  // Starts from the wall clock, so that it grows over restarts and a late statement of an earlier
+  // incarnation never counts as newer.
+  let statementSequence = Math.floor(clock.wallMs());
 
   const rank = createAllocatorRank({ clock, listEntries: () => view.listMembers('entry') });
 
@@ -146,7 +147,7 @@
     if (home !== undefined) client.reportLimit(home, report);
   });
 
-  /** Limits that stand in this data centre, for VMs that the server did not answer. */
+  /** Rate limits in this data centre, for VMs that have had no answer from the limited server. */
   function listLimitsPerS(): CapacityFact['limitsPerS'] {
     const standing = account.list().flatMap(({ instanceId, perS }) => {
       const entry: readonly [string, number][] = perS === null ? [] : [[instanceId, perS]];
@@ -184,7 +185,7 @@
     tick: () => client.tick(),
     listStatements() {
       if (!isFirst()) return [];
-      statements += 1;
+      statementSequence += 1;
       const services = listServices().map((name) => [name, allocator.capacityOf(name)] as const);
       const limitsPerS = listLimitsPerS();
       const body: CapacityFact = {
@@ -193,7 +194,9 @@
         services: Object.fromEntries(services),
         ...(limitsPerS ? { limitsPerS } : {}),
       };
-      return [{ key: FACT_KEYS.capacity(dataCentre, host), sequence: statements, ageMs: 0, body }];
+      return [
+        { key: FACT_KEYS.capacity(dataCentre, host), sequence: statementSequence, ageMs: 0, body },
+      ];
     },
     describe: () => ({
       waiting: allocator.waiting,
