--- a/packages/entry/__tests__/crashReporter.spec.ts
+++ b/packages/entry/__tests__/crashReporter.spec.ts
@@ -37,7 +37,7 @@
     table,
     state: statements.state,
     isSuspected: () => isSuspected,
-    isThere: () => Promise.resolve(isThere),
+    isReachable: () => Promise.resolve(isThere),
     findReceiver({ instanceId }, sentAtMs) {
       const after = next.get(instanceId);
       return after && after.atMs < sentAtMs ? after.instanceId : instanceId;
--- a/packages/entry/src/quarantine/crashGuard.ts
+++ b/packages/entry/src/quarantine/crashGuard.ts
@@ -1,4 +1,4 @@
-/** Keeps requests that end backend servers from the next ones: what is seen, judged and stopped. */
+/** Protects backend servers from requests that crash them: detects, judges and quarantines them. */
 import { parseInstanceId } from '@spoolplank/membership';
 import type {
   ClearanceFact,
@@ -35,22 +35,25 @@
   readonly health: Pick<EngineHealth, 'isLost'>;
   /** Whether a new connection to an address is accepted. */
   readonly isThere: (address: string) => Promise<boolean>;
-  /** Makes what this VM states known to others at once. */
+  /** Sends the statements of this VM to the others immediately. */
   readonly spread: () => void;
 }
 
 export interface CrashGuard {
   readonly quarantine: Quarantine;
   readonly crashes: CrashReporter;
-  /** Holds the loss of any engine of its path against a stream that had just begun there. */
+  /**
+   * Records the loss of an engine as a crash under a stream on its path, if the stream has been
+   * answered but has had no event yet.
+   */
   recordLost(row: StreamRow, instanceId: string): void;
-  /** To be called when one of these was stated, here or elsewhere. */
+  /** Must be called when such a fact was stated, by this VM or another. */
   onFact(body: GuardFact): void;
-  /** Forgets what is over. */
+  /** Removes expired facts. */
   sweep(): void;
 }
 
-/** Facts about contents that may end servers. */
+/** Facts about contents that may crash servers. */
 export type GuardFact = CrashFact | ClearanceFact | OpenRunFact;
 
 const GUARD_FACTS: ReadonlySet<SystemFact['kind']> = new Set<GuardFact['kind']>([
@@ -59,13 +62,12 @@
   'open-run',
 ]);
 
-/** Whether a fact is one of those. */
 export function isGuardFact(body: SystemFact): body is GuardFact {
   return GUARD_FACTS.has(body.kind);
 }
 
-/** Runs something a little later, once for all who have asked for it till then. */
-function createOnce(schedule: (run: () => void) => void, run: () => void): () => void {
+/** Returns a function that schedules `run`, coalescing the calls made before it has run. */
+function createCoalesced(schedule: (run: () => void) => void, run: () => void): () => void {
   let isDue = false;
   return () => {
     if (isDue) return;
@@ -80,13 +82,13 @@
 export function createCrashGuard(options: CrashGuardOptions): CrashGuard {
   const { clock, host, table, view, streams, health } = options;
 
-  /** One end is stated by many streams at the same moment: one exchange takes all of it. */
-  const spreadSoon = createOnce((run) => scheduleTimer(run, 0), options.spread);
+  /** Many streams report one crash at the same moment; their statements share one exchange. */
+  const spreadSoon = createCoalesced((run) => scheduleTimer(run, 0), options.spread);
 
   /**
-   * Whether an incarnation of a server is over: it is suspected, its next one is known, or another
-   * server has announced itself at its address since. Older announcements prove nothing, as a slot
-   * may name an incarnation that this VM does not know yet.
+   * Whether an incarnation of a server has ended: it is suspected, its next incarnation is known,
+   * or another server has announced itself at its address since `sinceMs`. Older announcements
+   * prove nothing, as a slot may name an incarnation that this VM does not know yet.
    */
   function hasEnded({ instanceId, address }: BackendTarget, sinceMs: number): boolean {
     const owner = view.findByAddress(address);
@@ -97,7 +99,10 @@
     return isTaken || health.isLost(instanceId);
   }
 
-  /** Two incarnations that ended under one content would else be counted as one. */
+  /**
+   * Returns the later incarnation of the server if it had announced itself before the request was
+   * sent. Otherwise two incarnations that crashed under one content would be counted as one.
+   */
   function findReceiver({ instanceId, address }: BackendTarget, sentAtMs: number): string {
     const owner = view.findByAddress(address);
     if (owner?.body.kind !== 'backend' || owner.receivedAtMs >= sentAtMs) return instanceId;
@@ -107,7 +112,7 @@
     return isNext ? owner.body.instanceId : instanceId;
   }
 
-  /** The order in which entries speak of a run that one of them has stated and left open. */
+  /** Position of this VM in the order in which entries report the end of another VM's open run. */
   function rankOf(key: string): number {
     const hosts = view.listMembers('entry').map((member) => member.host);
     return Math.max(0, rankByRendezvous(key, hosts).indexOf(host));
@@ -120,14 +125,14 @@
     table,
     state: statements.state,
     isSuspected: quarantine.isSuspected,
-    isThere: options.isThere,
+    isReachable: options.isThere,
     findReceiver,
     hasEnded,
     rankOf,
     onEnd: quarantine.recordEnd,
   });
 
-  /** Copies that are under way, and have not begun to answer, may still be kept from a server. */
+  /** Cuts the streams in flight whose content is quarantined and that have had no event yet. */
   function endQuarantined(): void {
     [...streams.list()]
       .filter(({ hasBegun, admitted }) => !hasBegun && quarantine.has(contentOf(admitted)))
@@ -135,10 +140,10 @@
   }
 
   /**
-   * After all facts of one exchange were taken in: in the middle of them, a request that was beside
-   * the guilty one may seem to be it, and its streams would be ended.
+   * Runs after all facts of one exchange have been merged. With only a part of them, a request that
+   * ran beside the crashing one could be quarantined and its streams cut.
    */
-  const judgeSoon = createOnce(queueMicrotask, () => {
+  const refreshSoon = createCoalesced(queueMicrotask, () => {
     if (quarantine.refresh()) endQuarantined();
   });
 
@@ -157,7 +162,7 @@
         return;
       }
       quarantine.onFact(body);
-      judgeSoon();
+      refreshSoon();
     },
     sweep() {
       statements.sweep();
--- a/packages/entry/src/quarantine/crashReporter.ts
+++ b/packages/entry/src/quarantine/crashReporter.ts
@@ -1,8 +1,8 @@
 /**
- * Distinguishes a backend server that ended from a connection that was lost.
+ * Distinguishes a crash of a backend server from the loss of a connection.
  *
- * While that is unknown, the run is announced to all VMs as open, so that what one VM alone has
- * seen is not lost with it.
+ * While the cause is unknown, the run is announced to all VMs as open, so that a failure seen by
+ * one VM alone is not lost if that VM stops.
  */
 import { FACT_KEYS, OPEN_RUN_RETENTION_MS } from '@spoolplank/membership';
 import type {
@@ -18,36 +18,36 @@
 import { digestContent } from './requestContent';
 import type { RequestContent } from './requestContent';
 
-/** A content at one incarnation of a backend server. */
+/** A run of a content on one incarnation of a backend server. */
 export interface ServerRun {
   /** Digest of the content. */
   readonly content: string;
   readonly instanceId: string;
   readonly address: string;
-  /** How long it had run there. */
+  /** How long the content had run there. */
   readonly ranMs: number;
 }
 
-/** A run whose server ended, and what shows that the content was there. */
+/** A run whose server ended, with the evidence that the content had reached the server. */
 export type EndedRun = Omit<CrashFact, 'kind'>;
 
 export interface CrashReporterOptions {
   readonly clock: Clock;
   readonly table: Pick<FactTable<SystemFact>, 'find'>;
-  /** States a fact to all VMs. */
+  /** Publishes a fact to all VMs. */
   readonly state: (key: string, body: OpenRunFact) => void;
-  /** Whether servers have ended under a content. */
+  /** Whether a server has ended while it ran the content. */
   readonly isSuspected: (content: RequestContent) => boolean;
   /** Whether a new connection to the server is accepted. */
-  readonly isThere: (address: string) => Promise<boolean>;
+  readonly isReachable: (address: string) => Promise<boolean>;
   /**
-   * The incarnation that received what was sent to a server at a moment: a later one than the
-   * target, if it had announced itself at the address before.
+   * The incarnation that received a request sent at `sentAtMs`: a later one than the target, if it
+   * had announced itself at the address before.
    */
   readonly findReceiver: (target: BackendTarget, sentAtMs: number) => string;
-  /** Whether an incarnation of a server that was sent something at a moment is known to be over. */
+  /** Whether an incarnation that was sent a request at `sinceMs` is known to have ended. */
   readonly hasEnded: (target: BackendTarget, sinceMs: number) => boolean;
-  /** How many VMs are to speak before this one about a run that another VM has stated. */
+  /** Number of VMs that report the end of another VM's open run before this one. */
   readonly rankOf: (key: string) => number;
   /** Called with each run whose server ended. */
   readonly onEnd: (end: EndedRun) => void;
@@ -55,39 +55,39 @@
 
 export interface CrashReporter {
   /**
-   * States an attempt that is about to be sent, if servers have ended under its content: the head
-   * of its answer may be lost on the way, and this VM too.
+   * Publishes an attempt that is about to be sent, if servers have ended under its content: the
+   * head of its answer may be lost on the way, or this VM may stop.
    */
   recordSend(content: RequestContent, target: BackendTarget): void;
-  /** Looks after the server of a run that broke off; resolves when the look is over. */
+  /** Checks the server of a run that broke off; resolves once it has been checked. */
   record(run: ServerRun): Promise<void>;
-  /** To be called when an open run was stated, here or elsewhere. */
+  /** Must be called when an open run was published, by this VM or another. */
   onFact(body: OpenRunFact): void;
-  /** Lets time pass: judges those whose server has ended since. */
+  /** Reports the open runs whose server has ended since; called periodically. */
   tick(): void;
 }
 
-/** A stated run that is followed until its server ends. */
+/** An open run that is tracked until its server ends. */
 interface FollowedRun {
-  /** The incarnation that it reached, as far as is known; null until it is looked for. */
+  /** The incarnation that received the run, as far as known; null before the first check. */
   readonly instanceId: string | null;
-  /** When this VM is to speak; null before an end. */
-  readonly speaksAtMs: number | null;
+  /** When this VM reports the end; null while the server has not ended. */
+  readonly reportsAtMs: number | null;
 }
 
-const UNJUDGED: FollowedRun = { instanceId: null, speaksAtMs: null };
+const UNCHECKED: FollowedRun = { instanceId: null, reportsAtMs: null };
 
 /**
- * The VM that stated a run reports its end at once. If that VM is gone, the others report one after
- * the other, this far apart: an end reaches all of them over two hops, each of which waits up to 50
- * ms.
+ * Interval between the reports of different VMs. The VM that published a run reports its end at
+ * once; if that VM has stopped, the others follow in turn. A report reaches all of them over two
+ * hops, each of which waits up to 50 ms.
  */
-const SPEAKERS_APART_MS = 150;
-/** Connections that break while their servers live come in crowds, when a link is reset. */
-const MAX_OPEN = 512;
+const REPORT_STAGGER_MS = 150;
+/** Bounds memory: when a link is reset, many connections break while their servers live. */
+const MAX_OPEN_RUNS = 512;
 
 export function createCrashReporter(options: CrashReporterOptions): CrashReporter {
-  const { clock, table, state, isSuspected, isThere, findReceiver, hasEnded, rankOf, onEnd } =
+  const { clock, table, state, isSuspected, isReachable, findReceiver, hasEnded, rankOf, onEnd } =
     options;
   /** Open runs by the key of their fact. */
   const followed = new Map<string, FollowedRun>();
@@ -99,8 +99,9 @@
   }
 
   /**
-   * How many runs under this name had broken off under the content before it was sent. Either only
-   * a connection was lost, and none of them is an end, or the server has started again since.
+   * Counts the runs of the content under this instance id that had broken off before the run was
+   * sent. Either only their connections were lost, and none of them is a crash, or the server has
+   * restarted since.
    */
   function countBefore({ content, instanceId }: ServerRun, sentAtMs: number): number {
     let turn = 0;
@@ -108,7 +109,7 @@
     return turn;
   }
 
-  /** Attempts have one turn: one that came after the server's end may have reached nobody. */
+  /** Attempts always have turn 0: one sent after the server's end may have reached no server. */
   function toEnd(run: ServerRun, evidence: CrashEvidence, sentAtMs: number): EndedRun {
     const { content, instanceId, ranMs } = run;
     const turn = evidence === 'run' ? countBefore(run, sentAtMs) : 0;
@@ -120,7 +121,7 @@
     const body: OpenRunFact = { kind: 'open-run', ...end, address, wallMs };
     const key = FACT_KEYS.openRun(body);
     state(key, body);
-    // One that is followed no more is not kept as this VM's own either.
+    // Only tracked runs are kept as this VM's own: `forget` removes a run from both together.
     if (followed.has(key)) own.add(key);
   }
 
@@ -129,11 +130,11 @@
     own.delete(key);
   }
 
-  function waitToSpeakMs(key: string): number {
-    return own.has(key) ? 0 : rankOf(key) * SPEAKERS_APART_MS;
+  function reportDelayMs(key: string): number {
+    return own.has(key) ? 0 : rankOf(key) * REPORT_STAGGER_MS;
   }
 
-  function follow(key: string, { instanceId, speaksAtMs }: FollowedRun): void {
+  function checkRun(key: string, { instanceId, reportsAtMs }: FollowedRun): void {
     const fact = table.find(key);
     const nowMs = clock.nowMs();
     if (fact?.body.kind !== 'open-run' || nowMs - fact.receivedAtMs >= OPEN_RUN_RETENTION_MS) {
@@ -149,8 +150,8 @@
       hasTargetEnded &&
       (receiverId === target.instanceId ||
         hasEnded({ ...target, instanceId: receiverId }, sentAtMs));
-    const atMs = isOver ? (speaksAtMs ?? nowMs + waitToSpeakMs(key)) : null;
-    followed.set(key, { instanceId: receiverId, speaksAtMs: atMs });
+    const atMs = isOver ? (reportsAtMs ?? nowMs + reportDelayMs(key)) : null;
+    followed.set(key, { instanceId: receiverId, reportsAtMs: atMs });
     if (atMs === null || nowMs < atMs) return;
     forget(key);
     onEnd({ ...body, instanceId: receiverId });
@@ -165,7 +166,7 @@
     async record(run) {
       const sentAtMs = clock.nowMs() - run.ranMs;
       const received = { ...run, instanceId: findReceiver(run, sentAtMs) };
-      const hasGone = hasEnded(received, sentAtMs) || !(await isThere(run.address));
+      const hasGone = hasEnded(received, sentAtMs) || !(await isReachable(run.address));
       const end = toEnd(received, 'run', sentAtMs);
       if (hasGone) onEnd(end);
       else open(end, run.address);
@@ -173,12 +174,12 @@
     onFact(body) {
       const key = FACT_KEYS.openRun(body);
       if (followed.has(key)) return;
-      followed.set(key, UNJUDGED);
+      followed.set(key, UNCHECKED);
       const [oldest] = followed.keys();
-      if (followed.size > MAX_OPEN && oldest !== undefined) forget(oldest);
+      if (followed.size > MAX_OPEN_RUNS && oldest !== undefined) forget(oldest);
     },
     tick() {
-      followed.forEach((run, key) => follow(key, run));
+      followed.forEach((run, key) => checkRun(key, run));
     },
   };
 }
--- a/packages/entry/src/quarantine/quarantine.ts
+++ b/packages/entry/src/quarantine/quarantine.ts
@@ -1,8 +1,9 @@
 /**
- * Request contents that end the backend servers that run them, and are run no more.
+ * Quarantines request contents that crash the backend servers that run them.
  *
- * Every VM states which servers ended under which content, and judges by all that is stated: no VM
- * keeps a count that could be lost, be late or be cut off. See docs/design/quarantine.md.
+ * Every VM publishes which servers ended under which content, and decides from all published facts.
+ * No single VM keeps a count that could be lost, delayed or partitioned off. See
+ * docs/design/quarantine.md.
  */
 import { CRASH_RETENTION_MS, FACT_KEYS } from '@spoolplank/membership';
 import type {
@@ -34,50 +35,50 @@
 
 export interface Quarantine {
   /**
-   * Lets a content pass that may be run.
+   * Checks that a content may be run.
    *
-   * @throws SpoolplankError `quarantined`; the request has not run.
+   * @throws SpoolplankError `quarantined` if it may not; the request has not run.
    */
   check(content: RequestContent): void;
   has(content: RequestContent): boolean;
   /**
-   * Whether a request that broke off, or was rejected, may be sent on by this VM itself. One that
-   * two servers ended under is left to its caller: the third end would be the router's own doing.
+   * Whether this VM itself may retry a request that broke off or was rejected. A request that two
+   * servers ended under is not retried: the router would cause the third crash. Its caller decides.
    */
   maySendOn(content: RequestContent): boolean;
-  /** Whether a server has ended under it. */
+  /** Whether a server has ended while it ran the content. */
   isSuspected(content: RequestContent): boolean;
-  /** Holds the end of a server against a content. */
+  /** Records the end of a server under a content. */
   recordEnd(end: EndedRun): void;
-  /** Clears a content: it was run, and its server lives. */
+  /** Clears a content that was served by a server that is still alive. */
   recordServed(content: RequestContent): void;
-  /** Clears a content by its digest, for an operator; false when nothing was held against it. */
+  /** Clears a content by its digest, for an operator; false if it was not suspected. */
   release(digest: string): boolean;
-  /** To be called when a crash or an clearance was stated, here or elsewhere. */
+  /** Must be called when a crash or a clearance was published, by this VM or another. */
   onFact(body: CrashFact | ClearanceFact): void;
   /**
-   * Judges by all that was stated so far; returns whether a content is in quarantine now that was
-   * not before.
+   * Re-evaluates the quarantine if facts have arrived; returns whether a content was newly
+   * quarantined.
    */
   refresh(): boolean;
-  /** Forgets what the table has forgotten. */
+  /** Drops the keys of facts that have left the table. */
   sweep(): void;
-  /** What is to be stated with the next exchange. */
+  /** Facts to publish with the next exchange. */
   listStatements(): readonly FactUpdate<SystemFact>[];
   describe(): JsonValue;
 }
 
 /**
- * Control VMs that all restart at once know nothing: every VM restates a few facts, drawn at
- * random, so that all of them are back within about ten seconds. Eight facts of 270 bytes in 10 s
+ * Control VMs that all restart at once have lost all facts. Every VM republishes a few facts drawn
+ * at random, so that all facts are back within about ten seconds. Eight facts of 270 bytes in 10 s
  * are 0.22 KB a second.
  */
 const RESTATE_EVERY_MS = 10_000;
-const RESTATED = 8;
-/** Keys kept, the oldest are dropped first: 0.55 MB of facts, and 0.4 ms to judge them all. */
+const RESTATED_FACTS = 8;
+/** Maximum number of facts, the oldest are dropped first: 0.55 MB, and 0.4 ms to evaluate all. */
 const MAX_KEYS = 2000;
-/** Digests of greater bodies are computed only when something is held against a content. */
-const MAX_REMEMBERED_BYTES = 65_536;
+/** Larger bodies are not tracked as served: they are hashed only while a content is suspected. */
+const MAX_TRACKED_BYTES = 65_536;
 const MS_PER_S = 1000;
 
 type CrashRow = Fact<SystemFact> & { readonly body: CrashFact };
@@ -86,20 +87,20 @@
   return body.kind === 'crash' ? FACT_KEYS.crash(body) : FACT_KEYS.clearance(body.content);
 }
 
-/** Identity of an incarnation that ended, also among those that were sent to under one name. */
+/** Identifies an ended run; the turn separates incarnations reached under one instance id. */
 function runOf({ instanceId, turn }: CrashFact): string {
   return `${instanceId}#${turn}`;
 }
 
 export function createQuarantine(options: QuarantineOptions): Quarantine {
   const { clock, random, log, metrics, table, statements } = options;
-  /** Keys of all crashes and clearances in the table, in the order in which they were received. */
+  /** Keys of the crashes and clearances in the table, in the order in which they were received. */
   const keys = new Set<string>();
   const served = createServedContents({ clock });
   let endsByContent: ReadonlyMap<string, readonly CrashRow[]> = new Map();
-  let guilty: ReadonlySet<string> = new Set();
-  /** Facts come in crowds: they are judged together, when somebody asks. */
-  let isJudgementDue = false;
+  let quarantined: ReadonlySet<string> = new Set();
+  /** Set when a fact arrives. Facts arrive in bursts, so they are evaluated together on demand. */
+  let isEvaluationDue = false;
   let restateAtMs = clock.nowMs() + RESTATE_EVERY_MS;
 
   function isCleared(row: CrashRow): boolean {
@@ -136,22 +137,22 @@
     }));
   }
 
-  function judge(): void {
-    const before = guilty;
-    isJudgementDue = false;
+  function evaluate(): void {
+    const before = quarantined;
+    isEvaluationDue = false;
     endsByContent = groupByContent(listCrashes().filter((row) => !isCleared(row)));
-    guilty = judgeCrashes(
+    quarantined = judgeCrashes(
       [...endsByContent.values()].flat().map(({ body }) => ({ ...body, instanceId: runOf(body) })),
     );
-    const added = [...guilty].filter((content) => !before.has(content));
-    const released = [...before].filter((content) => !guilty.has(content));
+    const added = [...quarantined].filter((content) => !before.has(content));
+    const released = [...before].filter((content) => !quarantined.has(content));
     added.forEach((content) =>
       log.warn('content-quarantined', { content, ends: JSON.stringify(describeEnds(content)) }),
     );
     released.forEach((content) => log.info('content-released', { content }));
   }
 
-  /** States something of this VM's own, which the table then passes to `onFact`. */
+  /** Publishes a fact of this VM, which the table then passes to `onFact`. */
   function state(body: CrashFact | ClearanceFact): void {
     statements.state(keyOf(body), body);
   }
@@ -161,7 +162,7 @@
     state({ kind: 'clearance', content, reason, wallMs: Math.floor(clock.wallMs()) });
   }
 
-  /** A content that keeps coming is not forgotten while it does. */
+  /** Republishes ageing crashes, so that a content that keeps coming stays quarantined. */
   function renew(digest: string): void {
     const nowMs = clock.nowMs();
     (endsByContent.get(digest) ?? [])
@@ -170,36 +171,39 @@
   }
 
   function refresh(): boolean {
-    if (!isJudgementDue) return false;
-    const before = guilty;
-    judge();
-    // VMs that have not run it lately hold against it what they saw: this one knows better.
-    const known = [...guilty].filter(served.has);
+    if (!isEvaluationDue) return false;
+    const before = quarantined;
+    evaluate();
+    // Other VMs that have not served these contents recently suspect them; this VM has served them.
+    const known = [...quarantined].filter(served.has);
     known.forEach((content) => clear(content, 'served'));
-    if (known.length > 0) judge();
-    return [...guilty].some((content) => !before.has(content));
+    if (known.length > 0) evaluate();
+    return [...quarantined].some((content) => !before.has(content));
   }
 
-  /** Incarnations of servers that ended under a content, each of them once. */
+  /** Number of distinct server incarnations that ended under a content. */
   function countEnds(rows: readonly CrashRow[]): number {
     return new Set(rows.map(({ body }) => runOf(body))).size;
   }
 
   function endsOf(content: RequestContent): readonly CrashRow[] {
     refresh();
-    // Nothing is held against anything most of the time, and no digest is computed then.
+    // Usually no content is suspected, and no digest has to be computed.
     return endsByContent.size === 0 ? [] : (endsByContent.get(digestContent(content)) ?? []);
   }
 
   function has(content: RequestContent): boolean {
     refresh();
-    return guilty.size > 0 && guilty.has(digestContent(content));
+    return quarantined.size > 0 && quarantined.has(digestContent(content));
   }
 
   function drawKeys(): readonly string[] {
     const all = [...keys];
-    if (all.length <= RESTATED) return all;
-    const drawn = Array.from({ length: RESTATED }, () => all[random.nextInt(all.length)] ?? '');
+    if (all.length <= RESTATED_FACTS) return all;
+    const drawn = Array.from(
+      { length: RESTATED_FACTS },
+      () => all[random.nextInt(all.length)] ?? '',
+    );
     return [...new Set(drawn)];
   }
 
@@ -222,7 +226,8 @@
     isSuspected: (content) => endsOf(content).length > 0,
     recordEnd({ content, instanceId, turn, evidence, ranMs }) {
       const body: CrashFact = { kind: 'crash', content, instanceId, turn, evidence, ranMs };
-      // Another copy of it was on the same run, here or at another VM.
+      // Skips a run that was already reported for another copy of the request, by any VM, and
+      // contents that were served recently.
       if (table.find(keyOf(body)) || served.has(content)) return;
       state(body);
       refresh();
@@ -231,8 +236,8 @@
       metrics.count('spoolplank_content_ends_total', {});
     },
     recordServed(content) {
-      const isRemembered = content.request.body.length <= MAX_REMEMBERED_BYTES;
-      if (isRemembered) served.record(digestContent(content));
+      const isTracked = content.request.body.length <= MAX_TRACKED_BYTES;
+      if (isTracked) served.record(digestContent(content));
       if (endsOf(content).length > 0) clear(digestContent(content), 'served');
     },
     release(digest) {
@@ -246,14 +251,14 @@
       keys.delete(key);
       keys.add(key);
       if (keys.size > MAX_KEYS) keys.delete([...keys][0] ?? '');
-      isJudgementDue = true;
+      isEvaluationDue = true;
     },
     refresh,
     sweep() {
       keys.forEach((key) => {
         if (!table.find(key)) keys.delete(key);
       });
-      judge();
+      evaluate();
     },
     listStatements() {
       const nowMs = clock.nowMs();
@@ -265,7 +270,7 @@
       refresh();
       return [...endsByContent.keys()].map((content) => ({
         content,
-        isQuarantined: guilty.has(content),
+        isQuarantined: quarantined.has(content),
         ends: describeEnds(content),
       }));
     },
--- a/packages/entry/src/quarantine/requestContent.ts
+++ b/packages/entry/src/quarantine/requestContent.ts
@@ -1,26 +1,25 @@
-/** What a request asks for and for whom, distinguished from its other attempts by a digest. */
+/** Identifies the content of a request by a digest that all attempts of the request share. */
 import { createHash } from 'node:crypto';
 import type { CallerRequest } from '../callerRequest';
 
-/** Whose request it is, and what it carries. */
+/** The parts of a request that make up its content. */
 export interface RequestContent {
   readonly request: Pick<CallerRequest, 'host' | 'method' | 'url' | 'body'>;
   /** Name of the organisation; null for a caller without one. */
   readonly organisation: string | null;
 }
 
-/** A request, and the organisation it was admitted for. */
+/** An admitted request with its organisation. */
 interface ContentSource {
   readonly request: RequestContent['request'];
   readonly organisation: { readonly name: string } | null;
 }
 
-/** The content of an admitted request. */
 export function contentOf({ request, organisation }: ContentSource): RequestContent {
   return { request, organisation: organisation?.name ?? null };
 }
 
-/** Digests with a collision among 2^32 of them are one in 2^64. */
+/** With 16 bytes, the probability of a collision among 2^32 digests is about 2^-64. */
 const DIGEST_BYTES = 16;
 
 const digests = new WeakMap<RequestContent['request'], string>();
@@ -33,10 +32,10 @@
 }
 
 /**
- * The digest of a request's content: the same for every attempt of one organisation with the same
- * method, URL and body, whatever its request id, connection and VM. It takes 8 us for a body of
- * 4 KB and 4 ms for one of 4 MB, so it is computed only when there is something to compare it with,
- * and once a request.
+ * Returns the digest of a request's content: equal for all attempts of one organisation with the
+ * same host, method, URL and body, independent of request id, connection and VM. Hashing takes 8 us
+ * for a body of 4 KB and 4 ms for one of 4 MB, so callers compute it only if there is a digest to
+ * compare it with, and the result is cached for the request.
  */
 export function digestContent(content: RequestContent): string {
   const known = digests.get(content.request);
--- a/packages/entry/src/quarantine/servedContents.ts
+++ b/packages/entry/src/quarantine/servedContents.ts
@@ -1,4 +1,4 @@
-/** Contents that were run to a good answer lately, so that they cannot be what ends servers. */
+/** Remembers contents that were served recently, which therefore do not crash servers. */
 import type { Clock } from '@spoolplank/shared';
 
 export interface ServedContents {
@@ -7,12 +7,12 @@
 }
 
 /**
- * A content that all callers share, such as a repeated look-up, runs on several servers at any
- * moment. It counts as harmless for so long after a good run.
+ * Time for which a served content counts as harmless. A content that all callers share, such as a
+ * repeated look-up, runs on several servers at any moment and would be suspected when they fail.
  */
-const KNOWN_MS = 60_000;
-/** Digests kept, the oldest are dropped first: some 0.4 MB. */
-const MAX_KEPT = 4096;
+const HARMLESS_MS = 60_000;
+/** Maximum number of digests, about 0.4 MB; the oldest are dropped first. */
+const MAX_DIGESTS = 4096;
 
 export function createServedContents({ clock }: { readonly clock: Clock }): ServedContents {
   const servedAtMs = new Map<string, number>();
@@ -21,13 +21,13 @@
     record(digest) {
       servedAtMs.delete(digest);
       servedAtMs.set(digest, clock.nowMs());
-      if (servedAtMs.size <= MAX_KEPT) return;
+      if (servedAtMs.size <= MAX_DIGESTS) return;
       const [oldest = ''] = servedAtMs.keys();
       servedAtMs.delete(oldest);
     },
     has(digest) {
       const atMs = servedAtMs.get(digest) ?? Number.NEGATIVE_INFINITY;
-      return clock.nowMs() - atMs < KNOWN_MS;
+      return clock.nowMs() - atMs < HARMLESS_MS;
     },
   };
 }
