--- a/packages/entry/__tests__/admissionQueue.spec.ts
+++ b/packages/entry/__tests__/admissionQueue.spec.ts
@@ -124,7 +124,7 @@
     const { enter, free, pass } = createQueue(100);
     free(6);
     await Promise.all(['1', '2', '3', '4', '5', '6'].map((name) => enter(name)));
-    // Four slots a second, and a wait of a tenth of one: whoever has one ahead waits in vain.
+    // At four slots a second and a wait of 100 ms, a request with another one ahead waits in vain.
     const first = enter('first');
     let isRefused = false;
     const second = enter('second').then((slot) => {
--- a/packages/entry/__tests__/backoffFixtures.ts
+++ b/packages/entry/__tests__/backoffFixtures.ts
@@ -1,4 +1,4 @@
-/** An entry whose servers back off, are busy, fail or cannot be reached, as a test has them. */
+/** Simulates an entry whose servers back off, are busy, fail or are unreachable. */
 import assert from 'node:assert/strict';
 import { PassThrough } from 'node:stream';
 import type { NoticeListener, BackoffDirective, ServerNotice } from '@spoolplank/membership';
@@ -26,7 +26,7 @@
   MODEL,
 } from './fixtures';
 
-/** What a server asks for that turns a request away. */
+/** Backoff that a server requests when it rejects a request. */
 export const BACKOFF_MS = 3000;
 export const SERVERS: readonly string[] = ['e1', 'e2', 'e3'];
 
@@ -44,12 +44,12 @@
 }
 
 /**
- * How a server answers; `busy` turns away without asking for a backoff, `gone` cannot be reached,
- * `limited` names a limit with a good answer.
+ * How a server answers: `busy` rejects without requesting a backoff, `gone` is unreachable, and
+ * `limited` sets a rate limit in a successful answer.
  */
 export type Mood = 'fine' | 'backoff' | 'busy' | 'fails' | 'gone' | 'limited';
 
-/** What a server names that is limited. */
+/** Limit that a rate-limited server sets. */
 export const LIMIT_PER_S = 0.5;
 
 function createResponse(mood: Mood): BackendResponse {
@@ -72,7 +72,7 @@
   };
 }
 
-/** An entry's dispatch over servers whose mood is set, and all that it was told and sent. */
+/** Creates an entry's dispatch over servers with set behaviours; records notices and sends. */
 export function createBackoffSetting(
   kind: RouteKind = 'safe',
   permits: PermitFinder = createNoPermits(),
@@ -126,7 +126,7 @@
   const answer = createAnswer(answers);
   const route = createRoute(kind, { timeoutMs: 20_000 });
   const searches: SlotSearch[] = [];
-  /** Gives out the chain of the first server that is not left out, as an account does. */
+  /** Grants the chain of the first server that is not excluded, like the allocator. */
   function findChain(search: SlotSearch): Promise<ChosenChain | undefined> {
     searches.push({ ...search, excludedHeads: new Set(search.excludedHeads) });
     const id = SERVERS.find(
@@ -155,7 +155,7 @@
     answers,
     metrics: base.metrics,
     linesOf: (event: string) => lines.filter((line) => line.event === event),
-    /** Lets something happen while a request is on its way to a server. */
+    /** Sets a callback for the time while a request is on its way to a server. */
     whenSent(next: (id: string) => void) {
       onSend = next;
     },
--- a/packages/entry/__tests__/crashGuard.spec.ts
+++ b/packages/entry/__tests__/crashGuard.spec.ts
@@ -57,13 +57,14 @@
   return {
     guard,
     clock,
-    /** Hears that an incarnation of a server is at an address. */
+    /** Receives the announcement of a server incarnation at an address. */
     announce(instanceId: string, address: string, sequence = 1): void {
       const { incarnation } = parseInstanceId(instanceId);
       const body = createEngine(instanceId, 0, 8, { address });
       table.put(FACT_KEYS.backend(instanceId), { incarnation, sequence }, body);
     },
-    hear: (updates: readonly FactUpdate<SystemFact>[]) => table.merge(updates, clock.nowMs(), 'c'),
+    mergeFacts: (updates: readonly FactUpdate<SystemFact>[]) =>
+      table.merge(updates, clock.nowMs(), 'c'),
   };
 }
 
@@ -81,16 +82,16 @@
     const waiting = createRow('deadly');
     const begun = createRow('deadly', { hasBegun: true });
     const other = createRow('other');
-    const { hear } = createSetting({ rows: [waiting.row, begun.row, other.row] });
-    hear(createCrashes(waiting.digest, ['s1', 's2', 's3'], 80));
+    const { mergeFacts } = createSetting({ rows: [waiting.row, begun.row, other.row] });
+    mergeFacts(createCrashes(waiting.digest, ['s1', 's2', 's3'], 80));
     await Promise.resolve();
     assert.deepEqual([waiting.cuts, begun.cuts, other.cuts], [['quarantined'], [], []]);
   });
 
   it('is not ended for ends that the rest of the same exchange explains', async () => {
     const unlucky = createRow('unlucky');
-    const { hear } = createSetting({ rows: [unlucky.row] });
-    hear([
+    const { mergeFacts } = createSetting({ rows: [unlucky.row] });
+    mergeFacts([
       ...createCrashes(unlucky.digest, ['s1', 's2', 's3'], 70),
       ...createCrashes('deadly', ['s1', 's2', 's3', 's4'], 80),
     ]);
@@ -152,7 +153,7 @@
     clock.advance(100);
     await guard.crashes.record(RUN);
     guard.crashes.tick();
-    assert.deepEqual(guard.quarantine.describe(), [], 'that may live');
+    assert.deepEqual(guard.quarantine.describe(), [], 'the next incarnation may live');
     clock.advance(500);
     announce('e1/9', 'e1:80');
     guard.crashes.tick();
--- a/packages/entry/__tests__/crashReporter.spec.ts
+++ b/packages/entry/__tests__/crashReporter.spec.ts
@@ -13,14 +13,14 @@
 interface Setting {
   readonly isThere?: boolean;
   readonly isSuspected?: boolean;
-  /** How many VMs are to speak first of what another one stated. */
+  /** Number of VMs that report another VM's open run before this one. */
   readonly rank?: number;
 }
 
 function createSetting({ isThere = true, isSuspected = false, rank = 0 }: Setting = {}) {
   const clock = createManualClock();
   const ended = new Set<string>();
-  let ranked = 0;
+  let rankingCount = 0;
   /** The next incarnation of a server, and when it announced itself. */
   const next = new Map<string, { readonly instanceId: string; readonly atMs: number }>();
   const seen: string[] = [];
@@ -44,7 +44,7 @@
     },
     hasEnded: ({ instanceId }) => ended.has(instanceId) || next.has(instanceId),
     rankOf() {
-      ranked += 1;
+      rankingCount += 1;
       return rank;
     },
     onEnd({ instanceId, turn, evidence }) {
@@ -58,15 +58,16 @@
   return {
     clock,
     ended,
-    /** Hears of an incarnation that announced itself some time ago, and now again. */
+    /** Receives the next incarnation of a server, which first announced itself `ageMs` ago. */
     restart(instanceId: string, nextId: string, ageMs: number) {
       next.set(instanceId, { instanceId: nextId, atMs: clock.nowMs() - ageMs });
     },
     seen,
-    countRankings: () => ranked,
+    countRankings: () => rankingCount,
     reporter,
-    tell: () => statements.list(),
-    hear: (updates: readonly FactUpdate<SystemFact>[]) => table.merge(updates, clock.nowMs(), 'c'),
+    listUpdates: () => statements.list(),
+    mergeFacts: (updates: readonly FactUpdate<SystemFact>[]) =>
+      table.merge(updates, clock.nowMs(), 'c'),
   };
 }
 
@@ -123,7 +124,7 @@
   it('counts as an end once the server has ended, after those who are to speak first', async () => {
     const [stater, other] = [createSetting(), createSetting({ rank: 2 })];
     await stater.reporter.record(RUN);
-    other.hear(stater.tell());
+    other.mergeFacts(stater.listUpdates());
     other.reporter.tick();
     other.ended.add('s1');
     const seen = [0, 299, 1].map((passedMs) => {
@@ -137,7 +138,7 @@
   it('costs no ranking of all VMs until the server has ended, and one then', async () => {
     const [stater, other] = [createSetting(), createSetting({ rank: 2 })];
     await stater.reporter.record(RUN);
-    other.hear(stater.tell());
+    other.mergeFacts(stater.listUpdates());
     const counts = [false, true].map((hasEnded) => {
       if (hasEnded) other.ended.add('s1');
       for (let tick = 0; tick < 5; tick += 1) {
@@ -152,7 +153,7 @@
   it('counts for nothing when the server ends long after', async () => {
     const [stater, other] = [createSetting(), createSetting()];
     await stater.reporter.record(RUN);
-    other.hear(stater.tell());
+    other.mergeFacts(stater.listUpdates());
     other.clock.advance(8000);
     other.ended.add('s1');
     other.reporter.tick();
@@ -243,18 +244,18 @@
 
 describe('an attempt that is about to be sent', () => {
   it('is stated where servers have ended under its content, and only there', () => {
-    const told = [true, false].map((isSuspected) => {
-      const { reporter, tell } = createSetting({ isSuspected });
+    const published = [true, false].map((isSuspected) => {
+      const { reporter, listUpdates } = createSetting({ isSuspected });
       reporter.recordSend(createContent(), RUN);
-      return tell().map(({ body }) => body);
+      return listUpdates().map(({ body }) => body);
     });
-    const [stated] = told[0] ?? [];
+    const [stated] = published[0] ?? [];
     assert.ok(stated?.kind === 'open-run');
     assert.deepEqual(
       [stated.content, stated.evidence],
       [digestContent(createContent()), 'attempt'],
     );
-    assert.deepEqual(told[1], []);
+    assert.deepEqual(published[1], []);
   });
 
   it('counts as no more than that when its server ends, also the second one at a run', () => {
--- a/packages/entry/__tests__/dataCentreRank.spec.ts
+++ b/packages/entry/__tests__/dataCentreRank.spec.ts
@@ -5,10 +5,10 @@
 
 function createCapacity(
   dataCentre: string,
-  told: Partial<ServiceCapacity>,
+  overrides: Partial<ServiceCapacity>,
   receivedAtMs = 1000,
 ): Fact<CapacityFact> {
-  const services = { engines: { capacity: 100, inFlight: 0, waiting: 0, ...told } };
+  const services = { engines: { capacity: 100, inFlight: 0, waiting: 0, ...overrides } };
   return {
     key: `capacity/${dataCentre}/${receivedAtMs}`,
     incarnation: 0,
--- a/packages/entry/__tests__/fixtures.ts
+++ b/packages/entry/__tests__/fixtures.ts
@@ -1,4 +1,4 @@
-/** An entry's tables, filled by hand. */
+/** Creates the tables, context and requests of an entry for tests. */
 import { createEventLog, createMetrics } from '@spoolplank/node';
 import { createDocumentCache, createFactTable, FACT_KEYS } from '@spoolplank/membership';
 import type { BackendFact, FactTable, SystemFact } from '@spoolplank/membership';
@@ -82,14 +82,14 @@
     announce(fact: BackendFact, sequence = 1): void {
       table.put(FACT_KEYS.backend(fact.instanceId), sequence, fact);
     },
-    /** Notes that a source answered just now. */
+    /** Records that a source answered just now. */
     sync(): void {
       syncedAtMs = clock.nowMs();
     },
   };
 }
 
-/** What the parts of an entry are given, with room for ten retries. */
+/** Creates the context of an entry's components, with a budget of ten retries. */
 export function createContext(
   clock: ManualClock,
   view: RoutingView,
@@ -160,7 +160,7 @@
   };
 }
 
-/** A caller that stays; the statuses of the answers that were sent whole are kept. */
+/** Creates the answer of a caller that stays connected; records the statuses that are sent. */
 export function createAnswer(sent: number[] = []): CallerAnswer {
   return {
     isClosed: false,
@@ -173,7 +173,7 @@
   } as unknown as CallerAnswer;
 }
 
-/** A request that arrived just now and was admitted, with all the time of its route left. */
+/** Creates an admitted request that has just arrived, with the full time of its route left. */
 export function createAdmitted(
   clock: ManualClock,
   route: Route,
@@ -198,7 +198,7 @@
   };
 }
 
-/** Nobody gives out permits. */
+/** Creates a permit finder that reaches no allocator. */
 export function createNoPermits(): PermitFinder {
   return {
     look: () => Promise.resolve(undefined),
@@ -207,7 +207,7 @@
   };
 }
 
-/** A chain of one engine that holds all layers. */
+/** Creates a chain of one engine that holds all layers. */
 export function createChain(id: string): ChosenChain {
   return {
     dataCentre: 'a',
@@ -222,7 +222,7 @@
   };
 }
 
-/** The choice of chains of the only entry there is, which has nothing in flight. */
+/** Creates the chain choice of a sole entry that has nothing in flight. */
 export function createSoleChoice(
   options: Pick<ChainChoiceOptions, 'view' | 'random'>,
 ): ChainChoice {
--- a/packages/entry/__tests__/limitDispatch.spec.ts
+++ b/packages/entry/__tests__/limitDispatch.spec.ts
@@ -5,7 +5,7 @@
 import type { Permit, PermitFinder, PermitOutcome } from '../src/limits/permitFinder';
 import { createBackoffSetting, LIMIT_PER_S, SERVERS } from './backoffFixtures';
 
-/** An account that gives out a permit for each server that is named here, and what it was asked. */
+/** Creates a permit finder that grants one permit for each given server, and records its calls. */
 function createPermits(permitted: readonly string[], outcome?: PermitOutcome) {
   const calls: string[] = [];
   const left = [...permitted];
@@ -29,7 +29,7 @@
 
 type Setting = ReturnType<typeof createBackoffSetting>;
 
-/** Has each server name its limit to the VM once. */
+/** Sets the limit of each server, and has the VM receive it once. */
 async function nameLimits(setting: Setting, servers: readonly string[]): Promise<void> {
   servers.forEach((id) => setting.moods.set(id, 'limited'));
   for (const id of servers) {
--- a/packages/entry/__tests__/limitFixtures.ts
+++ b/packages/entry/__tests__/limitFixtures.ts
@@ -1,4 +1,4 @@
-/** Entry VMs before servers that name limits, and what reaches these, in virtual time. */
+/** Simulates entry VMs in front of rate-limited servers, in virtual time, and records arrivals. */
 import { createSeededRandom } from '@spoolplank/shared';
 import type { Random } from '@spoolplank/shared';
 import { createDataCentre } from './slotFixtures';
@@ -8,8 +8,8 @@
 export interface LimitedArrival {
   readonly atMs: number;
   readonly vm: string;
-  /** Whether its VM had received the limit half a second before. */
-  readonly isTold: boolean;
+  /** Whether its VM had received the limit at least half a second before. */
+  readonly isInformed: boolean;
 }
 
 export interface LimitedSiteOptions {
@@ -19,16 +19,16 @@
 }
 
 export const WINDOW_MS = 4000;
-export const TOLD_AFTER_MS = 500;
+export const INFORMED_AFTER_MS = 500;
 const MS_PER_S = 1000;
-/** Between the send of a request and the head of its answer: from one to ten of these. */
+/** The head of an answer arrives after one to ten times this. */
 const HEAD_MS = 20;
 const HEAD_STEPS = 10;
-/** Choices that were overtaken by a notice of a server; as many as the product makes. */
+/** Attempts whose server set a limit before the request was sent; as many as in the product. */
 const MAX_HELD_BACK = 4;
 const STREAM_MS = 600;
 
-/** When a limit begins to stand, in milliseconds, and what it is; null for none. */
+/** A limit and the time from which it is in force; a null rate removes the limit. */
 interface LimitStep {
   readonly fromMs: number;
   readonly perS: number | null;
@@ -40,10 +40,10 @@
   const { clock } = site;
   const steps = new Map<string, LimitStep[]>(servers.map((id) => [id, []]));
   const arrivals = new Map<string, LimitedArrival[]>(servers.map((id) => [id, []]));
-  const reportedAtMs = new Map<string, number>();
+  const firstNamedAtMs = new Map<string, number>();
   const outcomes = { sent: 0, refused: 0, retryInMs: [] as number[] };
-  /** Names its limit with every so-manieth answer. */
-  let namesEvery = 1;
+  /** A server states its limit in every n-th answer. */
+  let namingInterval = 1;
   let answers = 0;
 
   const perSOf = (id: string): number | null => steps.get(id)?.at(-1)?.perS ?? null;
@@ -51,12 +51,12 @@
   function answer(id: string, vm: Vm, sentAtMs: number): void {
     answers += 1;
     const perS = perSOf(id);
-    const isNamed = perS !== null && answers % namesEvery === 0;
+    const isNamed = perS !== null && answers % namingInterval === 0;
     const headMs = HEAD_MS * (1 + random.nextInt(HEAD_STEPS));
     site.schedule(() => {
       if (!vm.isUp) return;
-      const told = `${vm.host} ${id}`;
-      if (isNamed && !reportedAtMs.has(told)) reportedAtMs.set(told, clock.nowMs());
+      const key = `${vm.host} ${id}`;
+      if (isNamed && !firstNamedAtMs.has(key)) firstNamedAtMs.set(key, clock.nowMs());
       const directive = isNamed
         ? ({ kind: 'named', perS } as const)
         : ({ kind: 'unnamed' } as const);
@@ -64,12 +64,14 @@
     }, headMs);
   }
 
-  /** Sends unless the VM was told and has no permit; as the last look before a send does. */
+  /** Sends unless the VM knows a limit and has no permit, like the last check before a send. */
   function trySend(vm: Vm, id: string, hasPermit: boolean): boolean {
     if (!hasPermit && vm.limits.perSOf(id) !== null && !vm.limits.takeOwnQuota(id)) return false;
     const atMs = clock.nowMs();
-    const told = reportedAtMs.get(`${vm.host} ${id}`) ?? Number.POSITIVE_INFINITY;
-    arrivals.get(id)?.push({ atMs, vm: vm.host, isTold: atMs >= told + TOLD_AFTER_MS });
+    const namedAtMs = firstNamedAtMs.get(`${vm.host} ${id}`) ?? Number.POSITIVE_INFINITY;
+    arrivals
+      .get(id)
+      ?.push({ atMs, vm: vm.host, isInformed: atMs >= namedAtMs + INFORMED_AFTER_MS });
     outcomes.sent += 1;
     answer(id, vm, clock.steadyMs());
     return true;
@@ -80,7 +82,7 @@
     if (id === undefined || !trySend(vm, id, false)) outcomes.refused += 1;
   }
 
-  /** One request of a caller, from its arrival at a VM to its end. */
+  /** Simulates one request of a caller, from its arrival at a VM to its end. */
   async function call(vm: Vm, name: string): Promise<void> {
     for (let tries = 0; tries < MAX_HELD_BACK; tries += 1) {
       const outcome = await site.find(vm, `${name}/${tries}`);
@@ -104,7 +106,7 @@
     outcomes.refused += 1;
   }
 
-  /** Has so many requests a second come to VMs for a time; they choose VMs by `draw`. */
+  /** Sends requests at a rate for a time; `draw` chooses the VM of each. */
   async function callFor(
     durationMs: number,
     perS: number,
@@ -125,12 +127,12 @@
     steps.get(id)?.push({ fromMs: clock.nowMs(), perS });
   }
 
-  /** What a limit allows within a window, where it stood all the time; null where it did not. */
+  /** Requests that a limit allows within a window; null if it was not in force throughout. */
   function allowedIn(id: string, fromMs: number, endMs: number): number | null {
     const list = steps.get(id) ?? [];
     const inForce = list.filter((step, index) => {
-      // One that is lower than before is known to all half a second later.
-      const until = (list[index + 1]?.fromMs ?? Number.POSITIVE_INFINITY) + TOLD_AFTER_MS;
+      // A lower limit is known to all VMs half a second later.
+      const until = (list[index + 1]?.fromMs ?? Number.POSITIVE_INFINITY) + INFORMED_AFTER_MS;
       return step.fromMs <= endMs && until > fromMs;
     });
     const isWhole = inForce.length > 0 && (inForce[0]?.fromMs ?? Infinity) <= fromMs;
@@ -139,20 +141,20 @@
     return (Math.max(...rates) * WINDOW_MS) / MS_PER_S;
   }
 
-  /** By how much the requests of told VMs in the worst window exceed a bound; negative when not. */
+  /** By how much the requests of informed VMs exceed a bound in the worst window; else negative. */
   function worstExcess(id: string, bound: (allowed: number) => number): number {
-    const told = (arrivals.get(id) ?? []).filter(({ isTold }) => isTold);
-    const excesses = told.map(({ atMs: endMs }) => {
+    const informed = (arrivals.get(id) ?? []).filter(({ isInformed }) => isInformed);
+    const excesses = informed.map(({ atMs: endMs }) => {
       const fromMs = endMs - WINDOW_MS;
       const allowed = allowedIn(id, fromMs, endMs);
       if (allowed === null) return Number.NEGATIVE_INFINITY;
-      const count = told.filter(({ atMs }) => atMs > fromMs && atMs <= endMs).length;
+      const count = informed.filter(({ atMs }) => atMs > fromMs && atMs <= endMs).length;
       return count - bound(allowed);
     });
     return Math.max(Number.NEGATIVE_INFINITY, ...excesses);
   }
 
-  /** The share of its limit that reached a server within a time. */
+  /** Share of its limit that a server received within a time. */
   function usedShare(id: string, fromMs: number, endMs: number): number {
     const perS = perSOf(id) ?? Number.POSITIVE_INFINITY;
     const count = (arrivals.get(id) ?? []).filter(
@@ -169,8 +171,8 @@
     call,
     callFor,
     setLimit,
-    nameEvery(count: number) {
-      namesEvery = count;
+    setNamingInterval(count: number) {
+      namingInterval = count;
     },
     worstExcess,
     usedShare,
--- a/packages/entry/__tests__/limitSchedules.ts
+++ b/packages/entry/__tests__/limitSchedules.ts
@@ -1,13 +1,13 @@
-/** Schedules of losses, cuts, restarts and changes around a server that names a limit. */
+/** Random schedules of failures, partitions, restarts and changes around a rate-limited server. */
 import { createLimitedSite } from './limitFixtures';
 import type { LimitedSite } from './limitFixtures';
 
-/** What a rule of the platform allows, and what is aimed at. */
-export const ruled = (allowed: number): number => 1.5 * allowed + 5;
-export const aimed = (allowed: number): number => 1.1 * allowed + 2;
+/** Bounds on the requests in a window: the platform's rule, and the stricter target. */
+export const platformBound = (allowed: number): number => 1.5 * allowed + 5;
+export const targetBound = (allowed: number): number => 1.1 * allowed + 2;
 
-/** Troubles that strike at random moments. */
-const TROUBLES: readonly ((site: LimitedSite, configuredAfterMs: number) => void)[] = [
+/** Faults and limit changes that are injected at random moments. */
+const FAULTS: readonly ((site: LimitedSite, configuredAfterMs: number) => void)[] = [
   (site) => {
     const vm = site.vms[site.random.nextInt(site.vms.length)];
     if (vm && site.vms.filter(({ isUp }) => isUp).length > 1) vm.isUp = false;
@@ -17,11 +17,11 @@
   },
   (site) => {
     const allocator = site.allocator();
-    allocator.isMute = !allocator.isMute;
+    allocator.losesAnswers = !allocator.losesAnswers;
   },
   (site) => {
     const vm = site.vms[site.random.nextInt(site.vms.length)];
-    if (vm) vm.isCut = !vm.isCut;
+    if (vm) vm.isPartitioned = !vm.isPartitioned;
   },
   (site, configuredAfterMs) => {
     const down = site.vms.find(({ isUp }) => !isUp);
@@ -36,8 +36,8 @@
 ];
 
 /**
- * Plays one; by how much the worst window exceeds what is allowed. A VM that starts again has no
- * configuration for `configuredAfterMs`.
+ * Runs one schedule; returns by how much the worst window exceeds the platform's bound. A restarted
+ * VM has no configuration for `configuredAfterMs`.
  */
 export async function playSchedule(
   vms: number,
@@ -46,7 +46,7 @@
 ): Promise<number> {
   const site = createLimitedSite({ vms, seed });
   await site.pass(1500);
-  site.nameEvery(1 + site.random.nextInt(2));
+  site.setNamingInterval(1 + site.random.nextInt(2));
   await site.callFor(1000, 20);
   site.setLimit('c1', 3.2);
   for (let step = 0; step < 6; step += 1) {
@@ -57,8 +57,8 @@
       pressure,
       (up) => up[site.random.nextInt(Math.min(few, up.length))],
     );
-    TROUBLES[site.random.nextInt(TROUBLES.length)]?.(site, configuredAfterMs);
+    FAULTS[site.random.nextInt(FAULTS.length)]?.(site, configuredAfterMs);
   }
   await site.callFor(2000, 13);
-  return site.worstExcess('c1', ruled);
+  return site.worstExcess('c1', platformBound);
 }
--- a/packages/entry/__tests__/lostReporter.spec.ts
+++ b/packages/entry/__tests__/lostReporter.spec.ts
@@ -1,12 +1,12 @@
 /**
- * A request that ends its servers was run by a fourth one, long after three had ended under it.
- * Each end is stated by the VMs whose attempt broke off. Whether the server ended or only a
- * connection was not known yet, so the only VM that had seen the third end kept it to itself until
- * the server's next announcement, and was stopped 0.3 s before that came: `attempt-failed` at
- * 26.679 s with `"hasAnswered":true,"hasBegun":false` of engine-b-1, `started` at 26.996 s, and no
- * `content-suspected` for engine-b-1 by anybody. In another run the head of the answer was lost on
- * a link that was cut one way: `"problem":"head-lost","ranMs":553,"hasAnswered":false`. An attempt
- * without a head counted for nothing, though two servers had ended under the content before.
+ * Guards against crashes that are not counted because only one VM saw them, so that a fourth server
+ * runs a content that has crashed three.
+ *
+ * - A VM whose attempt broke off cannot tell a crash from a lost connection until the server's next
+ *   announcement. It kept the run to itself until then, and was stopped 0.3 s before it
+ *   (`attempt-failed` at 26.679 s, `started` at 26.996 s, no `content-suspected`).
+ * - The head of the answer was lost on a link that was cut one way (`head-lost` after 553 ms). An
+ *   attempt without a head was not counted, though the content had crashed two servers before.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -34,10 +34,10 @@
 } from './fixtures';
 
 const TICK_MS = 40;
-/** Until a server that started again is known everywhere, with all that comes after it. */
-const SOON_MS = 3000;
+/** Time until a restarted server is known everywhere and its crash has been reported. */
+const PROPAGATION_MS = 3000;
 
-/** A VM that finds servers there again: only their announcements show that they ended. */
+/** Creates a VM that can always connect to servers, so that only announcements reveal a crash. */
 function createVm(clock: ManualClock, host: string) {
   let guard: CrashGuard | null = null;
   const table = createFactTable<SystemFact>({
@@ -67,14 +67,15 @@
     view,
     crashes: created.crashes,
     quarantine: created.quarantine,
-    tell: () => created.quarantine.listStatements(),
-    hear: (updates: readonly FactUpdate<SystemFact>[]) => table.merge(updates, clock.nowMs(), 'c'),
-    /** Hears that the next incarnation of a server is at an address. */
+    listUpdates: () => created.quarantine.listStatements(),
+    mergeFacts: (updates: readonly FactUpdate<SystemFact>[]) =>
+      table.merge(updates, clock.nowMs(), 'c'),
+    /** Receives the announcement of the next server at an address. */
     announceNext(address: string): void {
       const next = createEngine(`next-at-${address}`, 0, 8, { address });
       table.put(FACT_KEYS.backend(next.instanceId), 1, next);
     },
-    letPass(durationMs: number): void {
+    pass(durationMs: number): void {
       for (let passedMs = 0; passedMs < durationMs; passedMs += TICK_MS) {
         clock.advance(TICK_MS);
         created.crashes.tick();
@@ -124,11 +125,11 @@
     const clock = createManualClock(100_000);
     const [reporter, other] = [createVm(clock, 'a'), createVm(clock, 'b')];
     await reporter.crashes.record(RUN);
-    other.hear(reporter.tell());
-    other.letPass(400);
+    other.mergeFacts(reporter.listUpdates());
+    other.pass(400);
     assert.deepEqual(other.quarantine.describe(), [], 'the server may be there still');
     other.announceNext(RUN.address);
-    other.letPass(SOON_MS);
+    other.pass(PROPAGATION_MS);
     const [suspected] = other.quarantine.describe() as { content: string; ends: unknown[] }[];
     assert.deepEqual([suspected?.content, suspected?.ends.length], ['deadly', 1]);
   });
@@ -137,10 +138,10 @@
     const clock = createManualClock(100_000);
     const [sender, other] = [createVm(clock, 'a'), createVm(clock, 'b')];
     const content = await sendUnanswered(clock, sender, 2);
-    other.hear(sender.tell());
+    other.mergeFacts(sender.listUpdates());
     assert.equal(other.quarantine.has(content), false);
     other.announceNext('e1:80');
-    other.letPass(SOON_MS);
+    other.pass(PROPAGATION_MS);
     assert.equal(other.quarantine.has(content), true);
   });
 
@@ -148,9 +149,9 @@
     const clock = createManualClock(100_000);
     const [sender, other] = [createVm(clock, 'a'), createVm(clock, 'b')];
     await sendUnanswered(clock, sender);
-    other.hear(sender.tell());
+    other.mergeFacts(sender.listUpdates());
     other.announceNext('e1:80');
-    other.letPass(SOON_MS);
+    other.pass(PROPAGATION_MS);
     assert.deepEqual(other.quarantine.describe(), []);
   });
 });
--- a/packages/entry/__tests__/namedLimits.spec.ts
+++ b/packages/entry/__tests__/namedLimits.spec.ts
@@ -2,14 +2,14 @@
 import { describe, it } from 'node:test';
 import { createLimitedSite } from './limitFixtures';
 import type { LimitedSite, LimitedSiteOptions } from './limitFixtures';
-import { aimed, playSchedule } from './limitSchedules';
+import { targetBound, playSchedule } from './limitSchedules';
 import type { Vm } from './slotFixtures';
 
 const USED_SHARE = 0.9;
-/** Callers come for so many times a limit. */
-const PRESSURE = 4;
+/** Rate of calls as a multiple of the limit. */
+const OVERLOAD_FACTOR = 4;
 
-/** A site on which everybody knows of everybody, and callers have come for a while. */
+/** Starts a site on which all VMs know each other and callers have been calling for a while. */
 async function start(options: LimitedSiteOptions): Promise<LimitedSite> {
   const site = createLimitedSite(options);
   await site.pass(1500);
@@ -17,14 +17,14 @@
   return site;
 }
 
-function assertAimed(site: LimitedSite, id = 'c1'): void {
-  const excess = site.worstExcess(id, aimed);
+function assertWithinTarget(site: LimitedSite, id = 'c1'): void {
+  const excess = site.worstExcess(id, targetBound);
   assert.ok(excess <= 0, `${excess} too many in the worst window`);
 }
 
 async function callUnderLimit(site: LimitedSite, perS: number, durationMs: number): Promise<void> {
   site.setLimit('c1', perS);
-  await site.callFor(durationMs, perS * PRESSURE);
+  await site.callFor(durationMs, perS * OVERLOAD_FACTOR);
 }
 
 describe('the limit that a server names', () => {
@@ -34,7 +34,7 @@
         const site = await start({ vms });
         const windowMs = Math.max(8000, 8000 / perS);
         await callUnderLimit(site, perS, windowMs + 2000);
-        assertAimed(site);
+        assertWithinTarget(site);
         const nowMs = site.clock.nowMs();
         const used = site.usedShare('c1', nowMs - windowMs, nowMs);
         assert.ok(used >= USED_SHARE, `used to ${used}`);
@@ -47,22 +47,22 @@
     const [only] = site.vms;
     site.setLimit('c1', 3.2);
     await site.callFor(10_000, 13, () => only);
-    assertAimed(site);
+    assertWithinTarget(site);
     const nowMs = site.clock.nowMs();
     assert.ok(site.usedShare('c1', nowMs - 8000, nowMs) >= USED_SHARE);
   });
 
   it('stands though it is named with every other answer only', async () => {
     const site = await start({ vms: 11 });
-    site.nameEvery(2);
+    site.setNamingInterval(2);
     await callUnderLimit(site, 3.2, 20_000);
-    assertAimed(site);
+    assertWithinTarget(site);
   });
 
   it('is followed up and down', async () => {
     const site = await start({ vms: 11 });
     for (const perS of [8, 2, 12, 0.5, 6]) await callUnderLimit(site, perS, 6000);
-    assertAimed(site);
+    assertWithinTarget(site);
   });
 
   it('is lifted by answers that name it no longer, within a second or so and without a rush', async () => {
@@ -94,7 +94,7 @@
       vm.limits.recordAnswer(target, { kind: 'unnamed' }, sentAtMs);
     }
     await callUnderLimit(site, 3.2, 4000);
-    assertAimed(site);
+    assertWithinTarget(site);
   });
 
   it('of nothing at all is asked after, so that its end is noticed', async () => {
@@ -117,7 +117,7 @@
     site.setLimit('c1', 3.2);
     site.outcomes.refused = 0;
     await site.callFor(8000, 20);
-    assertAimed(site);
+    assertWithinTarget(site);
     assert.equal(site.outcomes.refused, 0);
   });
 
@@ -139,7 +139,7 @@
     site.allocator().isUp = false;
     await site.callFor(4000, 13);
     await site.callFor(4000, 13);
-    assertAimed(site);
+    assertWithinTarget(site);
     const nowMs = site.clock.nowMs();
     const used = site.usedShare('c1', nowMs - 4000, nowMs);
     assert.ok(used >= USED_SHARE, `used to ${used}`);
@@ -150,12 +150,12 @@
     await callUnderLimit(site, 3.2, 4000);
     site.vms.forEach((vm) => {
       const cut = vm;
-      cut.isCut = true;
-      cut.isMute = true;
+      cut.isPartitioned = true;
+      cut.losesAnswers = true;
     });
     const cutAtMs = site.clock.nowMs();
     await site.callFor(12_000, 13);
-    assertAimed(site);
+    assertWithinTarget(site);
     const sent = site.arrivalsAt('c1').filter(({ atMs }) => atMs > cutAtMs + 1000);
     assert.ok(sent.length > 0, 'nobody sent anything');
   });
--- a/packages/entry/__tests__/quarantine.spec.ts
+++ b/packages/entry/__tests__/quarantine.spec.ts
@@ -18,14 +18,14 @@
 
 interface Vm {
   readonly quarantine: Quarantine;
-  /** Statements that were to be passed on at once. */
+  /** Number of statements that requested an immediate exchange. */
   readonly spreads: () => number;
-  /** A server ends while it runs a content. */
+  /** Records the crash of a server while it ran a content. */
   end(content: RequestContent, instanceId: string, ranMs?: number): void;
-  /** What it states with an exchange. */
+  /** The facts that the VM publishes with an exchange. */
   state(): readonly FactUpdate<SystemFact>[];
-  hear(updates: readonly FactUpdate<SystemFact>[]): void;
-  /** Everything it knows, as a VM that starts is told. */
+  mergeFacts(updates: readonly FactUpdate<SystemFact>[]): void;
+  /** All facts of the VM, as a starting VM receives them. */
   listAll(): readonly FactUpdate<SystemFact>[];
   sweep(): void;
 }
@@ -65,7 +65,7 @@
       quarantine.recordEnd({ ...run, evidence: 'run' });
     },
     state: () => quarantine.listStatements(),
-    hear: (updates) => table.merge(updates, clock.nowMs(), name),
+    mergeFacts: (updates) => table.merge(updates, clock.nowMs(), name),
     listAll: () => table.deltaSince('', 0).updates,
     sweep() {
       table.sweep(retentionOf);
@@ -119,11 +119,11 @@
     const deadly = createContent('deadly');
     a.end(deadly, 's1');
     b.end(deadly, 's2');
-    // Two copies were on one run, sent by two VMs: that is one end.
+    // Two copies of the request, sent by two VMs, were on one run: one crash.
     a.end(deadly, 's3');
     b.end(deadly, 's3');
-    b.hear(a.state());
-    a.hear(b.state());
+    b.mergeFacts(a.state());
+    a.mergeFacts(b.state());
     assert.deepEqual([a.quarantine.has(deadly), b.quarantine.has(deadly)], [true, true]);
     const ends = (a.quarantine.describe() as { ends: unknown[] }[])[0]?.ends.length;
     assert.equal(ends, 3);
@@ -143,7 +143,7 @@
     ['s1', 's2', 's3'].forEach((id) => vm.end(deadly, id));
     clock.advance(60_000);
     const fresh = createVm(clock, 'b');
-    fresh.hear(vm.listAll());
+    fresh.mergeFacts(vm.listAll());
     assert.equal(fresh.quarantine.has(deadly), true);
   });
 
@@ -153,12 +153,12 @@
     const deadly = createContent('deadly');
     ['s1', 's2', 's3'].forEach((id) => reporter.end(deadly, id));
     const bystander = createVm(clock, 'b');
-    bystander.hear(reporter.listAll());
+    bystander.mergeFacts(reporter.listAll());
     clock.advance(10_000);
     const control = createVm(clock, 'c');
-    control.hear(bystander.state());
+    control.mergeFacts(bystander.state());
     assert.equal(control.quarantine.has(deadly), true);
-    // Not with each exchange, though: they would be most of what is exchanged.
+    // Not with each exchange, of which these facts would otherwise make up most.
     assert.deepEqual(bystander.state(), []);
   });
 
@@ -223,10 +223,10 @@
     const [a, b] = [createVm(clock, 'a'), createVm(clock, 'b')];
     const honest = createContent('honest');
     ['s1', 's2', 's3'].forEach((id) => a.end(honest, id));
-    b.hear(a.state());
+    b.mergeFacts(a.state());
     clock.advance(50);
     a.quarantine.recordServed(honest);
-    b.hear(a.state());
+    b.mergeFacts(a.state());
     assert.equal(b.quarantine.has(honest), false);
   });
 
@@ -237,11 +237,11 @@
     for (let round = 0; round < 3; round += 1) {
       clock.advance(60_000);
       ['s1', 's2', 's3'].forEach((id) => a.end(honest, `${id}/${round}`));
-      b.hear(a.state());
+      b.mergeFacts(a.state());
       assert.deepEqual([a.quarantine.has(honest), b.quarantine.has(honest)], [true, true]);
       clock.advance(50);
       a.quarantine.recordServed(honest);
-      b.hear(a.state());
+      b.mergeFacts(a.state());
       assert.deepEqual([a.quarantine.has(honest), b.quarantine.has(honest)], [false, false]);
     }
   });
@@ -254,7 +254,7 @@
     clock.advance(30_000);
     ['s1', 's2', 's3'].forEach((id) => vm.end(shared, id));
     assert.equal(vm.quarantine.has(shared), false);
-    assert.equal(vm.spreads(), 0, 'there is nothing to tell others');
+    assert.equal(vm.spreads(), 0, 'nothing is published');
     clock.advance(60_000);
     ['s4', 's5', 's6'].forEach((id) => vm.end(shared, id));
     assert.equal(vm.quarantine.has(shared), true);
@@ -268,9 +268,9 @@
     clock.advance(1000);
     ['s1', 's2', 's3'].forEach((id) => a.end(shared, id));
     assert.equal(a.quarantine.has(shared), true);
-    b.hear(a.state());
+    b.mergeFacts(a.state());
     assert.equal(b.quarantine.has(shared), false);
-    a.hear(b.state());
+    a.mergeFacts(b.state());
     assert.equal(a.quarantine.has(shared), false);
   });
 
--- a/packages/entry/__tests__/retryBudgets.spec.ts
+++ b/packages/entry/__tests__/retryBudgets.spec.ts
@@ -6,22 +6,22 @@
 const LIMITS = { windowMs: 10_000, ratio: 0.2, allowance: 200 };
 const VMS = 78;
 
-/** Entries that all start at one moment, and hear of each other a second later. */
+/** Creates entries that start at the same time and learn of each other a second later. */
 function createEntries() {
   const clock = createManualClock(100_000);
   const startedAtMs = clock.nowMs();
-  const hearsOthers = () => clock.nowMs() - startedAtMs >= 1000;
+  const knowsOthers = () => clock.nowMs() - startedAtMs >= 1000;
   const budgets = Array.from({ length: VMS }, () =>
     createRetryBudgets({
       clock,
       limits: LIMITS,
-      entries: () => (hearsOthers() ? VMS : 1),
+      entries: () => (knowsOthers() ? VMS : 1),
       firstSyncedAtMs: () => startedAtMs,
     }),
   );
   return {
     clock,
-    /** Retries that all of them allow now, when each wants so many. */
+    /** Total number of retries that the entries allow now, if each requests `each` of them. */
     spendAll: (each: number) =>
       budgets.reduce((sum, budgetOf) => {
         const budget = budgetOf('engines');
--- a/packages/entry/__tests__/slotBackoff.spec.ts
+++ b/packages/entry/__tests__/slotBackoff.spec.ts
@@ -8,15 +8,17 @@
   it('gives a VM no chain that backs off for it, and gives that chain to others', async () => {
     const site = createDataCentre(3, ['c1', 'c2']);
     await site.pass(1500);
-    const [told, other] = site.vms as [Vm, Vm];
-    told.backingOff.add('c1');
+    const [backedOffVm, other] = site.vms as [Vm, Vm];
+    backedOffVm.backingOff.add('c1');
     const headsOf = (outcomes: readonly SlotOutcome[]) =>
       outcomes.map((outcome) => (outcome.kind === 'granted' ? outcome.chain.headId : outcome.kind));
-    const toTold = Array.from({ length: 20 }, (_, index) => site.send(told, `t${index}`));
+    const toBackedOff = Array.from({ length: 20 }, (_, index) =>
+      site.send(backedOffVm, `t${index}`),
+    );
     await site.pass(50);
     const toOther = Array.from({ length: 20 }, (_, index) => site.send(other, `o${index}`));
     await site.pass(50);
-    assert.deepEqual([...new Set(headsOf(toTold.flat()))], ['c2']);
+    assert.deepEqual([...new Set(headsOf(toBackedOff.flat()))], ['c2']);
     assert.equal(site.inFlight('c1'), 20, 'the emptier one goes to who may use it');
     assert.deepEqual([...new Set(headsOf(toOther.flat()))], ['c1']);
     assert.equal(site.inFlight('c2'), 20);
@@ -25,9 +27,9 @@
   it('refuses at once a VM for which every chain backs off', async () => {
     const site = createDataCentre(3, ['c1']);
     await site.pass(1500);
-    const [told, other] = site.vms as [Vm, Vm];
-    told.backingOff.add('c1');
-    const refused = site.send(told, 'in-vain');
+    const [backedOffVm, other] = site.vms as [Vm, Vm];
+    backedOffVm.backingOff.add('c1');
+    const refused = site.send(backedOffVm, 'in-vain');
     const granted = site.send(other, 'well');
     await site.pass(10);
     const reasons = refused.map((outcome) => (outcome.kind === 'refused' ? outcome.reason : ''));
@@ -53,19 +55,18 @@
   it('keeps no slot idle for those at the head of the queue for whom its chain backs off', async () => {
     const site = createDataCentre(4, ['c1', 'c2']);
     await completeAccount(site);
-    const [told, other, filler] = site.vms as [Vm, Vm, Vm];
+    const [backedOffVm, other, filler] = site.vms as [Vm, Vm, Vm];
     for (let index = 0; index < 2 * ADMITTED; index += 1) {
       site.send(filler, `f${index}`, {}, index % 2 === 0 ? 600 : 60_000);
     }
     await site.pass(100);
     assert.equal(site.inFlight('c1') + site.inFlight('c2'), 2 * ADMITTED);
-    // The chain on which slots come free backs off for a VM whose requests are the more urgent
-    // ones.
+    // The chain whose slots are released backs off for a VM whose requests have a higher priority.
     const freeing =
       [...filler.held.entries()].find(([ticket]) => ticket === 'f0')?.[1].headId ?? '';
-    told.backingOff.add(freeing);
+    backedOffVm.backingOff.add(freeing);
     const ahead = Array.from({ length: 6 }, (_, index) =>
-      site.send(told, `ahead${index}`, { priority: 0 }),
+      site.send(backedOffVm, `ahead${index}`, { priority: 0 }),
     );
     const behind = Array.from({ length: 6 }, (_, index) => site.send(other, `behind${index}`));
     await site.pass(900);
--- a/packages/entry/__tests__/slotFixtures.ts
+++ b/packages/entry/__tests__/slotFixtures.ts
@@ -1,4 +1,4 @@
-/** Entry VMs of one data centre before chains of engines, in time that a test lets pass. */
+/** Simulates the entry VMs of one data centre in front of engine chains, in virtual time. */
 import type { MemberFact } from '@spoolplank/membership';
 import type { HeldSlot } from '@spoolplank/routing';
 import { createMetrics } from '@spoolplank/node';
@@ -16,14 +16,14 @@
 import { MODEL } from './fixtures';
 import { createVirtualTime } from './virtualTime';
 
-/** One way between two VMs of a data centre, in milliseconds. */
-const WAY_MS = 0.5;
-const TOLD_EVERY_MS = 1000;
+/** Network delay between two VMs of a data centre, one way. */
+const ONE_WAY_DELAY_MS = 0.5;
+const EXCHANGE_INTERVAL_MS = 1000;
 const TICK_MS = 40;
-/** A VM that starts knows who else is there after so long. */
+/** Time after which a starting VM knows all other VMs. */
 const SETTLED_AFTER_MS = 2600;
 export const CAPACITY = 100;
-/** Share that new streams may take. */
+/** Part of the capacity that new streams may take. */
 export const ADMITTED = 94;
 
 export interface Vm {
@@ -31,18 +31,18 @@
   readonly client: SlotClient;
   readonly allocator: SlotAllocator;
   readonly held: Map<string, HeldSlot>;
-  /** Engines that turned a request of this VM away. */
+  /** Engines that rejected a request of this VM. */
   readonly avoided: Set<string>;
   /** Engines that asked this VM for a backoff. */
   readonly backingOff: Set<string>;
-  /** Limits that servers named to this VM. */
+  /** Rate limits that servers set in their answers to this VM. */
   readonly limits: ServerLimits;
   isUp: boolean;
-  /** Whether it is cut off from all others. */
-  isCut: boolean;
-  /** Its answers are lost, though it hears everything. */
-  isMute: boolean;
-  /** Whether it has a configuration; one that starts again has none for a moment. */
+  /** Whether the VM is partitioned from all others. */
+  isPartitioned: boolean;
+  /** Whether its answers are lost, though it receives all calls. */
+  losesAnswers: boolean;
+  /** Whether the VM has a configuration; a restarted VM has none for a short time. */
   isConfigured: boolean;
 }
 
@@ -72,14 +72,14 @@
   capacity: CAPACITY,
 });
 
-/** Entries of one data centre before chains that each hold a hundred requests. */
+/** Creates the entries of one data centre, in front of chains with a capacity of 100 each. */
 export function createDataCentre(count: number, heads: readonly string[]) {
   const time = createVirtualTime();
   const { clock, schedule, delay } = time;
   const vms: Vm[] = [];
   const random = createSeededRandom(1);
   let chains = heads.map(chainOf);
-  let told = new Map<string, number>();
+  let reportedLoads = new Map<string, number>();
 
   function inFlight(headId: string): number {
     return vms
@@ -98,8 +98,8 @@
     peerPort: 1,
     state: isUp ? 'ready' : 'leaving',
   });
-  /** Known members: one that ended is known no longer after a while. */
-  let heard: readonly MemberFact[] = [];
+  /** Members known to all VMs; a failed one is removed with the next exchange. */
+  let knownMembers: readonly MemberFact[] = [];
 
   async function call(
     from: string,
@@ -109,34 +109,36 @@
   ): Promise<SlotReply> {
     const vm = vms.find(({ host }) => host === target.host);
     const isOther = from !== target.host;
-    const isCut = vms.some(({ host, isCut: is }) => is && (host === from || host === target.host));
-    if (isOther && isCut) {
+    const isLinkCut = vms.some(
+      ({ host, isPartitioned }) => isPartitioned && (host === from || host === target.host),
+    );
+    if (isOther && isLinkCut) {
       await delay(timeoutMs);
       throw new Error('no answer');
     }
-    await delay(WAY_MS);
+    await delay(ONE_WAY_DELAY_MS);
     if (!vm?.isUp) throw new Error('connection refused');
-    const reply = await Promise.race([answer(vm), delay(timeoutMs - WAY_MS)]);
-    if (!reply || vm.isMute) {
-      await delay(timeoutMs - 2 * WAY_MS);
+    const reply = await Promise.race([answer(vm), delay(timeoutMs - ONE_WAY_DELAY_MS)]);
+    if (!reply || vm.losesAnswers) {
+      await delay(timeoutMs - 2 * ONE_WAY_DELAY_MS);
       throw new Error('no answer');
     }
-    await delay(WAY_MS);
+    await delay(ONE_WAY_DELAY_MS);
     return reply;
   }
 
-  /** One that starts again holds and knows nothing; it knows of the others after a while. */
+  /** Creates a VM that holds nothing. A restarted one knows all others from `settledAtMs`. */
   function createVm(host: string, settledAtMs = clock.nowMs()): Vm {
     const held = new Map<string, HeldSlot>();
     const avoided = new Set<string>();
     const backingOff = new Set<string>();
-    const rank = createAllocatorRank({ clock, listEntries: () => heard });
-    const silent = { log: { info: () => {} }, metrics: createMetrics() };
-    const countEntries = () => Math.max(1, heard.length);
+    const rank = createAllocatorRank({ clock, listEntries: () => knownMembers });
+    const telemetry = { log: { info: () => {} }, metrics: createMetrics() };
+    const countEntries = () => Math.max(1, knownMembers.length);
     const limits = createServerLimits({
       clock,
       random,
-      ...silent,
+      ...telemetry,
       countEntries,
     });
     const isFirst = () => rank.find('a')?.host === host;
@@ -152,11 +154,11 @@
       listServers: () => [],
       limits: createLimitAccount({
         clock,
-        ...silent,
+        ...telemetry,
         isOwner: () => rank.findOwner('a') === host && clock.nowMs() >= settledAtMs,
         countEntries,
       }),
-      reportedInFlight: (headId) => told.get(headId) ?? 0,
+      reportedInFlight: (headId) => reportedLoads.get(headId) ?? 0,
       firstEventMs: () => 0,
       isFirst,
     });
@@ -176,22 +178,22 @@
       onFailure: () => {},
     });
     limits.onReport((report) => client.reportLimit('a', report));
-    const state = { isUp: true, isCut: false, isMute: false, isConfigured: true };
+    const state = { isUp: true, isPartitioned: false, losesAnswers: false, isConfigured: true };
     return { host, client, allocator, held, avoided, backingOff, limits, ...state };
   }
 
   for (let index = 0; index < count; index += 1) vms.push(createVm(`vm${index}`));
 
-  function tell(): void {
-    told = new Map(heads.map((headId) => [headId, inFlight(headId)]));
-    heard = vms.filter(({ isUp }) => isUp).map(toMember);
-    schedule(tell, TOLD_EVERY_MS);
+  function exchangeFacts(): void {
+    reportedLoads = new Map(heads.map((headId) => [headId, inFlight(headId)]));
+    knownMembers = vms.filter(({ isUp }) => isUp).map(toMember);
+    schedule(exchangeFacts, EXCHANGE_INTERVAL_MS);
   }
   function tick(): void {
     vms.filter(({ isUp }) => isUp).forEach(({ client }) => client.tick());
     schedule(tick, TICK_MS);
   }
-  tell();
+  exchangeFacts();
   tick();
 
   function toRequest(vm: Vm, ticket: string, overrides: Partial<SlotRequest>): SlotRequest {
@@ -214,7 +216,7 @@
     };
   }
 
-  /** Holds a slot for some time. */
+  /** Holds a slot for `lastsMs`. */
   function hold(vm: Vm, ticket: string, headId: string, lastsMs: number): void {
     vm.held.set(ticket, { ticket, headId, size: 1 });
     schedule(() => {
@@ -223,7 +225,7 @@
     }, lastsMs);
   }
 
-  /** One request: looks for a slot and, when it gets one, keeps it for some time. */
+  /** Sends one request, which holds its slot for `lastsMs` once it is granted one. */
   function send(vm: Vm, ticket: string, overrides: Partial<SlotRequest> = {}, lastsMs = 2000) {
     const outcomes: SlotOutcome[] = [];
     void vm.client.find(toRequest(vm, ticket, overrides)).then((outcome) => {
@@ -240,7 +242,7 @@
     send,
     hold,
     find: (vm: Vm, ticket: string) => vm.client.find(toRequest(vm, ticket, {})),
-    /** Has a VM start again, under its address; it has a configuration after a while. */
+    /** Restarts a VM under its address; it has a configuration after `configuredAfterMs`. */
     restart(host: string, configuredAfterMs = 0) {
       const index = vms.findIndex((vm) => vm.host === host);
       if (index < 0) return;
@@ -256,7 +258,7 @@
       chains = next.map(chainOf);
     },
     allocator() {
-      const rank = createAllocatorRank({ clock, listEntries: () => heard });
+      const rank = createAllocatorRank({ clock, listEntries: () => knownMembers });
       return vms.find(({ host }) => host === rank.find('a')?.host) as Vm;
     },
   };
@@ -264,15 +266,15 @@
 
 export type DataCentre = ReturnType<typeof createDataCentre>;
 
-/** Lets the account learn what every VM holds: until then it counts what it gave out as held. */
+/** Lets the account recover: until then it counts all slots that it granted as held. */
 export async function completeAccount(site: DataCentre): Promise<void> {
   await site.pass(1500);
   site.send(site.vms[0] as Vm, 'first', {}, 10);
   await site.pass(1400);
 }
 
-/** Sends so many requests a second from each VM in turn, and tells the most in flight by chain. */
-export async function play(
+/** Sends requests at a rate, from each VM in turn; returns the peak load of each chain. */
+export async function runLoad(
   site: DataCentre,
   requestsPerS: number,
   durationMs: number,
@@ -280,23 +282,23 @@
   settleMs = 1300,
 ) {
   const results: SlotOutcome[][] = [];
-  const most = new Map<string, number>();
+  const peaks = new Map<string, number>();
   const gapMs = 1000 / requestsPerS;
   for (let passedMs = 0; passedMs < durationMs; passedMs += gapMs) {
     const up = site.vms.filter(({ isUp }) => isUp);
     const vm = up[results.length % up.length];
-    // From half of the time to one and a half times, so that slots do not come free in a crowd.
+    // Durations vary from 0.5 to 1.5 times, so that slots are not released in bursts.
     const share = 0.5 + ((results.length * 37) % 100) / 100;
     const ticket = `r${site.clock.nowMs()}`;
     if (vm) results.push(site.send(vm, ticket, {}, lastsMs * share));
     await site.pass(gapMs);
     ['c1', 'c2'].forEach((headId) =>
-      most.set(headId, Math.max(most.get(headId) ?? 0, site.inFlight(headId))),
+      peaks.set(headId, Math.max(peaks.get(headId) ?? 0, site.inFlight(headId))),
     );
   }
-  // Whoever still waits has an outcome by then.
+  // All requests have an outcome by then.
   await site.pass(settleMs);
   const count = (kind: SlotOutcome['kind']) =>
     results.flat().filter((outcome) => outcome.kind === kind).length;
-  return { most, sent: results.length, count };
+  return { peaks, sent: results.length, count };
 }
--- a/packages/entry/__tests__/slotPermits.spec.ts
+++ b/packages/entry/__tests__/slotPermits.spec.ts
@@ -6,7 +6,7 @@
 
 const PER_S = 2;
 
-/** A site with a limit that stands, with no permit left. */
+/** Starts a site with a rate limit in force and no permit left. */
 async function startLimited() {
   const site = createLimitedSite({ vms: 3 });
   await site.pass(1500);
@@ -21,7 +21,7 @@
     const { site, vm } = await startLimited();
     const fromMs = site.clock.nowMs();
     const granted: string[] = [];
-    // Each is sent, and ends before any list of its VM has named it.
+    // Each request is sent, and ends before its VM has listed its slot.
     while (site.clock.nowMs() < fromMs + 6000) {
       const ticket = `short-${site.clock.nowMs()}`;
       void site.find(vm, ticket).then((outcome) => {
--- a/packages/entry/__tests__/slots.spec.ts
+++ b/packages/entry/__tests__/slots.spec.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { ADMITTED, CAPACITY, completeAccount, createDataCentre, play } from './slotFixtures';
+import { ADMITTED, CAPACITY, completeAccount, createDataCentre, runLoad } from './slotFixtures';
 import type { Vm } from './slotFixtures';
 
 describe('slots from one account', () => {
@@ -29,16 +29,16 @@
     const site = createDataCentre(60, ['c1', 'c2']);
     await site.pass(1500);
     // 188 slots of two seconds each serve 94 a second.
-    const { most, count, sent } = await play(site, 90, 8000);
+    const { peaks, count, sent } = await runLoad(site, 90, 8000);
     assert.ok(count('granted') > sent * 0.97, `${count('granted')} of ${sent}`);
-    assert.ok((most.get('c1') ?? 0) <= ADMITTED && (most.get('c2') ?? 0) <= ADMITTED);
-    assert.ok(Math.abs((most.get('c1') ?? 0) - (most.get('c2') ?? 0)) < 10);
+    assert.ok((peaks.get('c1') ?? 0) <= ADMITTED && (peaks.get('c2') ?? 0) <= ADMITTED);
+    assert.ok(Math.abs((peaks.get('c1') ?? 0) - (peaks.get('c2') ?? 0)) < 10);
   });
 
   it('refuses at once what would wait in vain', async () => {
     const site = createDataCentre(60, ['c1']);
     await site.pass(1500);
-    await play(site, 150, 4000, 2000, 0);
+    await runLoad(site, 150, 4000, 2000, 0);
     const late = site.vms[0] as Vm;
     const nowMs = site.clock.nowMs();
     const outcomes = site.send(late, 'one-more', {
@@ -54,13 +54,13 @@
   it('loses no request when the VM that keeps the account ends with sixty slots out', async () => {
     const site = createDataCentre(30, ['c1']);
     await site.pass(1500);
-    await play(site, 60, 1000, 6000);
+    await runLoad(site, 60, 1000, 6000);
     assert.ok(site.inFlight('c1') >= 55);
     site.allocator().isUp = false;
-    const { count, sent, most } = await play(site, 60, 3000, 6000);
+    const { count, sent, peaks } = await runLoad(site, 60, 3000, 6000);
     assert.equal(count('unavailable'), 0);
     assert.equal(count('granted') + count('refused'), sent);
-    assert.ok((most.get('c1') ?? 0) <= CAPACITY, String(most.get('c1')));
+    assert.ok((peaks.get('c1') ?? 0) <= CAPACITY, String(peaks.get('c1')));
   });
 
   it('has the next VM asked while the first one has no configuration after a restart', async () => {
@@ -82,13 +82,13 @@
   it('goes by what is told while a new account lacks what others hold', async () => {
     const site = createDataCentre(30, ['c1']);
     await site.pass(1500);
-    await play(site, 120, 750, 20_000, 1100);
+    await runLoad(site, 120, 750, 20_000, 1100);
     const before = site.inFlight('c1');
     assert.ok(before >= 80);
-    const keeper = site.allocator();
-    const ended = keeper.held.size;
-    keeper.isUp = false;
-    const one = site.vms.find((vm) => vm !== keeper) as Vm;
+    const allocatorVm = site.allocator();
+    const ended = allocatorVm.held.size;
+    allocatorVm.isUp = false;
+    const one = site.vms.find((vm) => vm !== allocatorVm) as Vm;
     for (let index = 0; index < 60; index += 1) site.send(one, `burst${index}`, {}, 20_000);
     await site.pass(300);
     assert.ok(site.inFlight('c1') <= ADMITTED + ended, String(site.inFlight('c1')));
@@ -97,25 +97,25 @@
   it('goes on when the answers of the first VM are lost, and overfills nothing', async () => {
     const site = createDataCentre(30, ['c1']);
     await site.pass(1500);
-    await play(site, 40, 1000, 3000);
-    site.allocator().isMute = true;
-    // Each VM is on its own for three short pauses, then asks the next one.
-    const first = await play(site, 40, 3000, 3000);
+    await runLoad(site, 40, 1000, 3000);
+    site.allocator().losesAnswers = true;
+    // Each VM reaches no allocator during three short backoffs, then asks the next VM.
+    const first = await runLoad(site, 40, 3000, 3000);
     assert.equal(first.count('unavailable') + first.count('granted'), first.sent);
-    const { count, sent, most } = await play(site, 40, 6000, 3000);
+    const { count, sent, peaks } = await runLoad(site, 40, 6000, 3000);
     assert.ok(count('granted') > sent * 0.6, `${count('granted')} of ${sent}`);
-    assert.ok((most.get('c1') ?? 0) <= CAPACITY * 1.1, String(most.get('c1')));
+    assert.ok((peaks.get('c1') ?? 0) <= CAPACITY * 1.1, String(peaks.get('c1')));
   });
 
   it('does not turn from a VM that is slow for a moment to the next one', async () => {
     const site = createDataCentre(30, ['c1']);
     await site.pass(1500);
-    const keeper = site.allocator();
-    keeper.isMute = true;
-    await play(site, 60, 200, 500, 0);
-    keeper.isMute = false;
-    await play(site, 60, 2000, 500);
-    const others = site.vms.filter((vm) => vm !== keeper && vm.allocator.holders > 0);
+    const allocatorVm = site.allocator();
+    allocatorVm.losesAnswers = true;
+    await runLoad(site, 60, 200, 500, 0);
+    allocatorVm.losesAnswers = false;
+    await runLoad(site, 60, 2000, 500);
+    const others = site.vms.filter((vm) => vm !== allocatorVm && vm.allocator.holders > 0);
     assert.deepEqual(
       others.map(({ host }) => host),
       [],
@@ -125,9 +125,9 @@
   it('frees the slots of a VM that ended, once their lease has run out', async () => {
     const site = createDataCentre(3, ['c1']);
     await site.pass(1500);
-    const keeper = site.allocator();
-    const holder = site.vms.find((vm) => vm !== keeper) as Vm;
-    const other = site.vms.find((vm) => vm !== keeper && vm !== holder) as Vm;
+    const allocatorVm = site.allocator();
+    const holder = site.vms.find((vm) => vm !== allocatorVm) as Vm;
+    const other = site.vms.find((vm) => vm !== allocatorVm && vm !== holder) as Vm;
     for (let index = 0; index < ADMITTED; index += 1) site.send(holder, `h${index}`, {}, 60_000);
     await site.pass(1500);
     assert.equal(site.inFlight('c1'), ADMITTED);
@@ -175,7 +175,7 @@
     const site = createDataCentre(1, ['c1']);
     await site.pass(1500);
     const [vm] = site.vms as [Vm];
-    vm.isMute = true;
+    vm.losesAnswers = true;
     const outcomes = site.send(vm, 'alone');
     await site.pass(400);
     assert.equal(outcomes[0]?.kind, 'unavailable');
--- a/packages/entry/__tests__/standIns.spec.ts
+++ b/packages/entry/__tests__/standIns.spec.ts
@@ -3,7 +3,7 @@
 import { createSeededRandom } from '@spoolplank/shared';
 import { createEngine, createTables, MODEL, createSoleChoice } from './fixtures';
 
-/** As many streams as a chain has in flight when one of its engines is lost. */
+/** Streams in flight on a chain that loses one of its engines. */
 const STREAMS = 80;
 
 describe('the streams of a lost engine', () => {
--- a/packages/entry/__tests__/virtualTime.ts
+++ b/packages/entry/__tests__/virtualTime.ts
@@ -1,4 +1,4 @@
-/** Time that passes only when a test lets it, for parts that wait. */
+/** Virtual time that a test advances, with timers that run in order. */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 import { createManualClock } from '@spoolplank/shared';
 
@@ -11,8 +11,8 @@
   const clock = createManualClock(startMs);
   const timers: Timer[] = [];
 
-  /** Where a timer belongs in the list, which is kept in the order of time. */
-  function placeOf(atMs: number): number {
+  /** Index at which a timer is inserted to keep the list in the order of time. */
+  function insertionIndexOf(atMs: number): number {
     let low = 0;
     let high = timers.length;
     while (low < high) {
@@ -25,7 +25,7 @@
 
   function schedule(run: () => void, delayMs: number): () => void {
     const timer = { atMs: clock.nowMs() + Math.max(0, delayMs), run };
-    timers.splice(placeOf(timer.atMs), 0, timer);
+    timers.splice(insertionIndexOf(timer.atMs), 0, timer);
     return () => {
       const index = timers.indexOf(timer);
       if (index >= 0) timers.splice(index, 1);
@@ -41,7 +41,7 @@
       }),
     async pass(durationMs: number): Promise<void> {
       const endMs = clock.nowMs() + durationMs;
-      // A turn of the event loop: everything that can go on has done so.
+      // After a turn of the event loop, all pending promise callbacks have run.
       await nextTurn();
       for (;;) {
         const next = timers[0];
