--- a/packages/entry/__tests__/admissionQueue.spec.ts
+++ b/packages/entry/__tests__/admissionQueue.spec.ts
@@ -57,14 +57,14 @@
 }
 
 describe('the queue of requests that wait for a slot', () => {
-  it('keeps nobody waiting where there is one', async () => {
+  it('grants a free slot without waiting', async () => {
     const { enter, free, queue } = createQueue();
     free(1);
     assert.equal(await enter('a'), 'a');
     assert.equal(queue.length, 0);
   });
 
-  it('gives slots by priority, then by arrival, and to nobody who comes later', async () => {
+  it('grants slots by priority, then by arrival, ahead of later requests', async () => {
     const { enter, free, pass, taken } = createQueue();
     const waits = [enter('a'), enter('b'), enter('urgent', { priority: 0 })];
     free(2);
@@ -76,7 +76,7 @@
     assert.deepEqual(taken, ['urgent', 'a', 'b', 'late']);
   });
 
-  it('lets go of those whose time is over, who have left, or who are too many', async () => {
+  it('drops requests that expired, were abandoned, or exceed the maximum length', async () => {
     const { enter, pass, queue } = createQueue(2);
     let hasLeft = false;
     const waits = [enter('a'), enter('b', { isAbandoned: () => hasLeft })];
@@ -89,7 +89,7 @@
     assert.equal(queue.length, 0);
   });
 
-  it('gives a slot only after the one before it counts as taken', async () => {
+  it('grants a slot only after the previous one counts as in flight', async () => {
     const { enter, free, pass, taken } = createQueue();
     const waits = ['a', 'b', 'c'].map((name) => enter(name));
     free(3);
@@ -100,7 +100,7 @@
     await Promise.all(waits);
   });
 
-  it('goes on for the others when looking for a slot fails for one', async () => {
+  it('continues for other requests when looking for a slot throws for one', async () => {
     const { enter, free, pass, queue } = createQueue();
     let looks = 0;
     const failing = enter('failing', {
--- a/packages/entry/__tests__/allocatorOwner.spec.ts
+++ b/packages/entry/__tests__/allocatorOwner.spec.ts
@@ -35,7 +35,7 @@
     assert.equal(rank.findOwner('b'), undefined);
   });
 
-  it('stays the owner while it is only silent: others may reach it', () => {
+  it('stays the owner while it only times out, as others may reach it', () => {
     const { clock, rank } = createRank();
     const owner = rank.findOwner('a') ?? '';
     for (let count = 0; count < 5; count += 1) {
@@ -46,7 +46,7 @@
     assert.equal(rank.findOwner('a'), owner);
   });
 
-  it('is another one when it refused a connection, or is known no longer', () => {
+  it('changes when the owner refused a connection, or is no longer known', () => {
     const { clock, rank, lose } = createRank();
     const owner = rank.findOwner('a') ?? '';
     rank.recordUnavailable(owner);
--- a/packages/entry/__tests__/callerAge.spec.ts
+++ b/packages/entry/__tests__/callerAge.spec.ts
@@ -3,14 +3,14 @@
 import { createCallerAge } from '../src/admission/callerAge';
 
 describe('the age of a caller', () => {
-  it('is what it lacks against the longest wait of its group', () => {
+  it('is the difference to the longest wait of its group', () => {
     const age = createCallerAge();
     assert.equal(age.estimateMs('r1 org', 20_000), 0);
     assert.equal(age.estimateMs('r1 org', 17_900), 2100);
     assert.equal(age.estimateMs('r1 org', 20_000), 0);
   });
 
-  it('is nothing where callers do not say how long they wait, or none is known to wait longer', () => {
+  it('is zero if callers do not state how long they wait, or none is known to wait longer', () => {
     const age = createCallerAge();
     age.estimateMs('r1 org', 20_000);
     assert.equal(age.estimateMs('r1 org', null), 0);
--- a/packages/entry/__tests__/crashGuard.spec.ts
+++ b/packages/entry/__tests__/crashGuard.spec.ts
@@ -78,7 +78,7 @@
 }
 
 describe('a stream whose content three servers have ended under', () => {
-  it('is ended while it waits for an answer, and left alone once it has events', async () => {
+  it('is cut while it waits for an answer, but not once it has events', async () => {
     const waiting = createRow('deadly');
     const begun = createRow('deadly', { hasBegun: true });
     const other = createRow('other');
@@ -88,7 +88,7 @@
     assert.deepEqual([waiting.cuts, begun.cuts, other.cuts], [['quarantined'], [], []]);
   });
 
-  it('is not ended for ends that the rest of the same exchange explains', async () => {
+  it('is not cut for crashes that the rest of the same exchange explains', async () => {
     const unlucky = createRow('unlucky');
     const { mergeFacts } = createSetting({ rows: [unlucky.row] });
     mergeFacts([
@@ -120,10 +120,10 @@
   return contents.flatMap(({ ends }) => ends.map(({ instanceId }) => instanceId));
 }
 
-describe('a run that broke off at a server that is there', () => {
+describe('a run that broke off on a server that accepts connections', () => {
   const RUN = { content: 'c', instanceId: 'e1/7', address: 'e1:80', ranMs: 40 };
 
-  it('is no end for a VM that has heard only of an earlier incarnation, or an earlier server there', async () => {
+  it('is no crash while only an earlier incarnation, or an earlier server, is known at the address', async () => {
     for (const earlier of ['e1/6', 'e9']) {
       const { guard, clock, announce } = createSetting({ isThere: true });
       announce(earlier, 'e1:80');
@@ -137,7 +137,7 @@
     }
   });
 
-  it('is an end once another server has announced itself there', async () => {
+  it('is a crash once another server has announced itself at the address', async () => {
     const { guard, clock, announce } = createSetting({ isThere: true });
     await guard.crashes.record(RUN);
     clock.advance(500);
@@ -147,7 +147,7 @@
     assert.equal(suspected?.content, 'c');
   });
 
-  it('is held against the next incarnation where that had announced itself before', async () => {
+  it('counts for the next incarnation if that had announced itself before', async () => {
     const { guard, clock, announce } = createSetting({ isThere: true });
     announce('e1/8', 'e1:80');
     clock.advance(100);
@@ -160,7 +160,7 @@
     assert.deepEqual(listEnds(guard), ['e1/8']);
   });
 
-  it('is held against the incarnation that it was sent to where the next one came later', async () => {
+  it('counts for the incarnation that it was sent to if the next one came later', async () => {
     const { guard, clock, announce } = createSetting({ isThere: false });
     clock.advance(100);
     announce('e1/8', 'e1:80');
--- a/packages/entry/__tests__/crashReporter.spec.ts
+++ b/packages/entry/__tests__/crashReporter.spec.ts
@@ -75,7 +75,7 @@
   contentOf(createAdmitted(createManualClock(100_000), createRoute('stream')));
 
 describe('a run whose connection broke', () => {
-  it('counts as an end when its server accepts no connection any more', async () => {
+  it('counts as a crash when its server accepts no more connections', async () => {
     const { reporter, seen } = createSetting({ isThere: false });
     await reporter.record(RUN);
     assert.deepEqual(seen, ['s1']);
@@ -91,7 +91,7 @@
     assert.deepEqual(seen, []);
   });
 
-  it('counts as an end when its server was back before anybody looked, and says so later', async () => {
+  it('counts as a crash later if its server had restarted before it was checked', async () => {
     const { reporter, seen, clock, ended } = createSetting();
     await reporter.record(RUN);
     clock.advance(2000);
@@ -112,7 +112,7 @@
     assert.deepEqual(seen, []);
   });
 
-  it('is not looked at again when another VM has found its server lost', async () => {
+  it('counts as a crash at once when another VM has found its server lost', async () => {
     const { reporter, seen, ended } = createSetting();
     ended.add('s1');
     await reporter.record(RUN);
@@ -120,8 +120,8 @@
   });
 });
 
-describe('a run that another VM has stated and left open', () => {
-  it('counts as an end once the server has ended, after those who are to speak first', async () => {
+describe('an open run of another VM', () => {
+  it('is reported once the server has ended, after the VMs ranked before this one', async () => {
     const [stater, other] = [createSetting(), createSetting({ rank: 2 })];
     await stater.reporter.record(RUN);
     other.mergeFacts(stater.listUpdates());
@@ -160,7 +160,7 @@
     assert.deepEqual(other.seen, []);
   });
 
-  it('is bounded in number: the oldest are left out first', async () => {
+  it('is limited in number; the oldest are dropped first', async () => {
     const { reporter, ended, seen } = createSetting();
     for (let count = 0; count <= 512; count += 1) {
       await reporter.record({ ...RUN, instanceId: `s${count}` });
@@ -182,7 +182,7 @@
     assert.deepEqual(seen, ['s1', 's1#1']);
   });
 
-  it('are one where the second was under way already', async () => {
+  it('are one if the second was already in flight', async () => {
     const { reporter, clock, ended, seen } = createSetting();
     await reporter.record(RUN);
     clock.advance(RUN.ranMs);
@@ -192,7 +192,7 @@
     assert.deepEqual(seen, ['s1']);
   });
 
-  it('are not told apart by attempts, which may have come after the end and reached nobody', async () => {
+  it('are not distinguished by attempts, which may have reached no server after the crash', async () => {
     const { reporter, clock, ended, seen } = createSetting({ isSuspected: true });
     const content = createContent();
     await reporter.record({ ...RUN, content: digestContent(content) });
@@ -219,7 +219,7 @@
     assert.deepEqual(seen, ['s1', 'attempt s1/2']);
   });
 
-  it('are one when the next incarnation announced itself after both were sent', async () => {
+  it('are one if the next incarnation announced itself after both were sent', async () => {
     const { reporter, clock, seen, restart } = createSetting({ isSuspected: true });
     const content = createContent();
     await reporter.record({ ...RUN, content: digestContent(content) });
@@ -231,7 +231,7 @@
     assert.deepEqual(seen, ['s1', 'attempt s1']);
   });
 
-  it('are no end while the server lives, however often its connections break', async () => {
+  it('are no crash while the server lives, however often its connections break', async () => {
     const { reporter, clock, seen } = createSetting();
     for (let count = 0; count < 5; count += 1) {
       await reporter.record(RUN);
@@ -243,7 +243,7 @@
 });
 
 describe('an attempt that is about to be sent', () => {
-  it('is stated where servers have ended under its content, and only there', () => {
+  it('is published only if servers have ended under its content', () => {
     const published = [true, false].map((isSuspected) => {
       const { reporter, listUpdates } = createSetting({ isSuspected });
       reporter.recordSend(createContent(), RUN);
@@ -258,7 +258,7 @@
     assert.deepEqual(published[1], []);
   });
 
-  it('counts as no more than that when its server ends, also the second one at a run', () => {
+  it('stays an attempt when its server ends, as does a second one on the same run', () => {
     const { reporter, clock, ended, seen } = createSetting({ isSuspected: true });
     reporter.recordSend(createContent(), RUN);
     clock.advance(9000);
--- a/packages/entry/__tests__/dataCentreRank.spec.ts
+++ b/packages/entry/__tests__/dataCentreRank.spec.ts
@@ -27,7 +27,7 @@
 }
 
 describe('the order in which data centres are asked for a slot', () => {
-  it('begins with the own one while it is not much fuller than others', () => {
+  it('starts with the own one while it is not much fuller than others', () => {
     const capacities = [
       createCapacity('a', { inFlight: 60 }),
       createCapacity('b', { inFlight: 40 }),
@@ -35,7 +35,7 @@
     assert.deepEqual(rank(capacities), ['a', 'b']);
   });
 
-  it('begins with another one when the own one is full, or has a line', () => {
+  it('starts with another one when the own one is full or has a queue', () => {
     const other = createCapacity('b', { inFlight: 40 });
     assert.deepEqual(rank([createCapacity('a', { inFlight: 94 }), other]), ['b', 'a full']);
     assert.deepEqual(rank([createCapacity('a', { inFlight: 50, waiting: 60 }), other]), [
@@ -44,7 +44,7 @@
     ]);
   });
 
-  it('names the own one last while it has no chain, and others without one not at all', () => {
+  it('puts the own one last while it has no chain, and omits others without one', () => {
     const capacities = [
       createCapacity('a', { capacity: 0 }),
       createCapacity('b', { inFlight: 10 }),
@@ -58,7 +58,7 @@
     assert.deepEqual(rank([createCapacity('b', { inFlight: 10 })]), ['a full', 'b']);
   });
 
-  it('goes by the newest statement, and by none that is old', () => {
+  it('uses the newest statement, and ignores stale ones', () => {
     const capacities = [
       createCapacity('b', { inFlight: 90 }, 1000),
       createCapacity('b', { inFlight: 10 }, 900),
--- a/packages/entry/__tests__/limitDispatch.spec.ts
+++ b/packages/entry/__tests__/limitDispatch.spec.ts
@@ -47,7 +47,7 @@
   return error;
 }
 
-describe('a VM that servers named limits to', () => {
+describe('a VM that knows rate limits of servers', () => {
   for (const kind of ['stream', 'safe', 'once'] as const) {
     it(`sends nothing without a permit beyond its own quota (${kind})`, async () => {
       const setting = createBackoffSetting(kind);
@@ -62,7 +62,7 @@
     });
   }
 
-  it('sends a request with a permit, and says when it has ended', async () => {
+  it('sends a request with a permit, and records when it has ended', async () => {
     const { calls, ended, permits } = createPermits(['e2']);
     const setting = createBackoffSetting('safe', permits);
     await nameLimits(setting, SERVERS);
@@ -75,7 +75,7 @@
     );
   });
 
-  it('waits for no permit while another server is free', async () => {
+  it('does not wait for a permit while another server has no limit', async () => {
     const { calls, permits } = createPermits([]);
     const setting = createBackoffSetting('safe', permits);
     await nameLimits(setting, ['e1', 'e2']);
@@ -86,7 +86,7 @@
     assert.ok(!calls.includes('wait'));
   });
 
-  it('refuses a request at once that would wait in vain, and tells its turn', async () => {
+  it('refuses a request at once if it would wait in vain, with the time to retry', async () => {
     const { permits } = createPermits([], { kind: 'refused', retryInMs: 4321 });
     const setting = createBackoffSetting('safe', permits);
     await nameLimits(setting, SERVERS);
@@ -107,7 +107,7 @@
     assert.ok(!calls.includes('wait'));
   });
 
-  it('asks for a permit too where only others were told', async () => {
+  it('requests a permit for a limit that only other VMs received', async () => {
     const { calls, permits } = createPermits([...SERVERS]);
     const setting = createBackoffSetting('safe', permits);
     const limitsPerS = Object.fromEntries(SERVERS.map((id) => [id, LIMIT_PER_S]));
--- a/packages/entry/__tests__/lostReporter.spec.ts
+++ b/packages/entry/__tests__/lostReporter.spec.ts
@@ -120,7 +120,7 @@
   return contentOf(admitted);
 }
 
-describe('the end of a server that only one VM saw', () => {
+describe('a crash of a server that only one VM saw', () => {
   it('is held against its content though that VM is stopped before the server is back', async () => {
     const clock = createManualClock(100_000);
     const [reporter, other] = [createVm(clock, 'a'), createVm(clock, 'b')];
@@ -134,7 +134,7 @@
     assert.deepEqual([suspected?.content, suspected?.ends.length], ['deadly', 1]);
   });
 
-  it('is held against a content that had ended two before, though no head of an answer came', async () => {
+  it('counts for a content that had crashed two servers before, even without an answer head', async () => {
     const clock = createManualClock(100_000);
     const [sender, other] = [createVm(clock, 'a'), createVm(clock, 'b')];
     const content = await sendUnanswered(clock, sender, 2);
@@ -145,7 +145,7 @@
     assert.equal(other.quarantine.has(content), true);
   });
 
-  it('is not held against one that had ended none before, if no head of an answer came', async () => {
+  it('does not count for a content that had crashed no server before, without an answer head', async () => {
     const clock = createManualClock(100_000);
     const [sender, other] = [createVm(clock, 'a'), createVm(clock, 'b')];
     await sendUnanswered(clock, sender);
--- a/packages/entry/__tests__/namedLimits.spec.ts
+++ b/packages/entry/__tests__/namedLimits.spec.ts
@@ -27,7 +27,7 @@
   await site.callFor(durationMs, perS * OVERLOAD_FACTOR);
 }
 
-describe('the limit that a server names', () => {
+describe('the rate limit that a server sets', () => {
   for (const vms of [2, 11, 78, 300]) {
     for (const perS of [0.5, 3.2, 30]) {
       it(`is kept by ${vms} VMs together, and used: ${perS} a second`, async () => {
@@ -42,7 +42,7 @@
     }
   }
 
-  it('is used by the one VM that has all the callers', async () => {
+  it('is used up by a single VM that has all callers', async () => {
     const site = await start({ vms: 78 });
     const [only] = site.vms;
     site.setLimit('c1', 3.2);
@@ -52,20 +52,20 @@
     assert.ok(site.usedShare('c1', nowMs - 8000, nowMs) >= USED_SHARE);
   });
 
-  it('stands though it is named with every other answer only', async () => {
+  it('stays in force when only every other answer contains it', async () => {
     const site = await start({ vms: 11 });
     site.setNamingInterval(2);
     await callUnderLimit(site, 3.2, 20_000);
     assertWithinTarget(site);
   });
 
-  it('is followed up and down', async () => {
+  it('is followed when it rises and falls', async () => {
     const site = await start({ vms: 11 });
     for (const perS of [8, 2, 12, 0.5, 6]) await callUnderLimit(site, perS, 6000);
     assertWithinTarget(site);
   });
 
-  it('is lifted by answers that name it no longer, within a second or so and without a rush', async () => {
+  it('ends within about a second, without a burst, when answers no longer contain it', async () => {
     const site = await start({ vms: 11 });
     await callUnderLimit(site, 3.2, 6000);
     site.setLimit('c1', null);
@@ -84,7 +84,7 @@
     );
   });
 
-  it('is not lifted by late answers to requests that were sent before it was named', async () => {
+  it('is not ended by late answers to requests sent before it was set', async () => {
     const site = await start({ vms: 3 });
     const [vm] = site.vms as [Vm];
     const target = { instanceId: 'c1', address: 'c1:1' };
@@ -97,7 +97,7 @@
     assertWithinTarget(site);
   });
 
-  it('of nothing at all is asked after, so that its end is noticed', async () => {
+  it('is probed when it is zero, so that its end is noticed', async () => {
     const site = await start({ vms: 11 });
     site.setLimit('c1', 0);
     await site.callFor(1000, 10);
@@ -112,7 +112,7 @@
     assert.ok(late >= 16, `${late} in the last two seconds`);
   });
 
-  it('is no matter of a server beside it', async () => {
+  it('does not affect another server', async () => {
     const site = await start({ vms: 11, servers: ['c1', 'c2'] });
     site.setLimit('c1', 3.2);
     site.outcomes.refused = 0;
@@ -121,7 +121,7 @@
     assert.equal(site.outcomes.refused, 0);
   });
 
-  it('sends callers away one after the other, at the rate that it allows', async () => {
+  it('spreads the retry times of refused callers at the rate that it allows', async () => {
     const site = await start({ vms: 11 });
     site.setLimit('c1', 3.2);
     await site.callFor(2000, 13);
@@ -145,7 +145,7 @@
     assert.ok(used >= USED_SHARE, `used to ${used}`);
   });
 
-  it('is kept by VMs that reach nobody, by their own quota alone', async () => {
+  it('is kept by the own quotas of VMs that reach no other VM', async () => {
     const site = await start({ vms: 11 });
     await callUnderLimit(site, 3.2, 4000);
     site.vms.forEach((vm) => {
@@ -161,7 +161,7 @@
   });
 });
 
-describe('a named limit in schedules of losses, cuts, restarts and changes', () => {
+describe('a rate limit under random failures, partitions, restarts and changes', () => {
   for (const [vms, seeds] of [
     [2, 60],
     [11, 60],
@@ -176,7 +176,7 @@
     });
   }
 
-  it('is never exceeded beyond its slack by VMs that start again without a configuration', async () => {
+  it('is never exceeded beyond its slack by VMs that restart without a configuration', async () => {
     for (const [vms, configuredAfterMs] of [
       [2, 600],
       [3, 600],
--- a/packages/entry/__tests__/quarantine.spec.ts
+++ b/packages/entry/__tests__/quarantine.spec.ts
@@ -84,8 +84,8 @@
   return 'none';
 }
 
-describe('a content that ends servers', () => {
-  it('is refused as not run, with when to come back, once three have ended', () => {
+describe('a content that crashes servers', () => {
+  it('is refused as not run, with a retry time, once three servers have crashed', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     ['s1', 's2'].forEach((id) => vm.end(deadly, id));
@@ -105,7 +105,7 @@
     );
   });
 
-  it('is not the same as that of another organisation, nor as another body', () => {
+  it('differs from the content of another organisation, and from another body', () => {
     const vm = createVm(createManualClock());
     ['s1', 's2', 's3'].forEach((id) => vm.end(createContent('deadly'), id));
     assert.equal(vm.quarantine.has(createContent('deadly', 'other')), false);
@@ -129,7 +129,7 @@
     assert.equal(ends, 3);
   });
 
-  it('is not stated again for each copy that was on one run', () => {
+  it('is reported once for a run, however many copies of the request were on it', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     for (let copy = 0; copy < 5; copy += 1) vm.end(deadly, 's1', 80 + copy);
@@ -147,7 +147,7 @@
     assert.equal(fresh.quarantine.has(deadly), true);
   });
 
-  it('is told again to control VMs that have all started anew, by VMs that saw nothing of it', () => {
+  it('is republished to restarted control VMs by VMs that did not see the crashes', () => {
     const clock = createManualClock();
     const reporter = createVm(clock, 'a');
     const deadly = createContent('deadly');
@@ -162,7 +162,7 @@
     assert.deepEqual(bystander.state(), []);
   });
 
-  it('is sent on by the router itself after one end, and not after two', () => {
+  it('is retried by the router itself after one crash, but not after two', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     vm.end(deadly, 's1');
@@ -172,7 +172,7 @@
     assert.equal(vm.quarantine.maySendOn(createContent('honest')), true);
   });
 
-  it('is counted once for a run that was stated as an attempt before', () => {
+  it('is counted once for a run that was reported as an attempt before', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     const content = digestContent(deadly);
@@ -186,7 +186,7 @@
     assert.equal(vm.quarantine.has(deadly), true);
   });
 
-  it('is counted for each of the runs that were sent to under one name', () => {
+  it('is counted for each of several runs under one instance id', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     const run = { content: digestContent(deadly), instanceId: 's1', ranMs: 40 };
@@ -194,7 +194,7 @@
     assert.equal(vm.quarantine.has(deadly), true);
   });
 
-  it('is sent on by the router itself after one end that was stated twice', () => {
+  it('is retried by the router itself after one crash that was reported twice', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     vm.end(deadly, 's1');
@@ -203,7 +203,7 @@
     assert.equal(vm.quarantine.maySendOn(deadly), true);
   });
 
-  it('is cleared of the ends so far when it is run somewhere, and only of those', () => {
+  it('is cleared of the earlier crashes when it is served, but not of later ones', () => {
     const clock = createManualClock();
     const vm = createVm(clock);
     const honest = createContent('honest');
@@ -218,7 +218,7 @@
     assert.equal(vm.quarantine.has(honest), true);
   });
 
-  it('is cleared at other VMs too, by an exchange', () => {
+  it('is cleared on other VMs through an exchange', () => {
     const clock = createManualClock();
     const [a, b] = [createVm(clock, 'a'), createVm(clock, 'b')];
     const honest = createContent('honest');
@@ -246,7 +246,7 @@
     }
   });
 
-  it('is not suspected where it was run well lately, as when all servers lose power at once', () => {
+  it('is not suspected if it was served recently, as when all servers lose power at once', () => {
     const clock = createManualClock();
     const vm = createVm(clock);
     const shared = createContent('shared by all callers');
@@ -260,7 +260,7 @@
     assert.equal(vm.quarantine.has(shared), true);
   });
 
-  it('is cleared for all by a VM that ran it well lately', () => {
+  it('is cleared for all VMs by a VM that served it recently', () => {
     const clock = createManualClock();
     const [a, b] = [createVm(clock, 'a'), createVm(clock, 'b')];
     const shared = createContent('shared by all callers');
@@ -274,7 +274,7 @@
     assert.equal(a.quarantine.has(shared), false);
   });
 
-  it('is let go by an operator, who names it by its digest', () => {
+  it('is released by an operator by its digest', () => {
     const clock = createManualClock();
     const vm = createVm(clock);
     const deadly = createContent('deadly');
@@ -285,7 +285,7 @@
     assert.equal(vm.quarantine.has(deadly), false);
   });
 
-  it('is forgotten in time, unless it keeps coming', () => {
+  it('expires, unless it keeps coming', () => {
     const clock = createManualClock();
     const vm = createVm(clock);
     const [gone, coming] = [createContent('gone'), createContent('coming')];
@@ -303,7 +303,7 @@
     assert.equal(vm.quarantine.has(coming), true);
   });
 
-  it('does not push out those in quarantine when very many contents are suspected', () => {
+  it('stays in quarantine when very many contents are suspected', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     for (let index = 0; index < 1500; index += 1) vm.end(createContent(`c${index}`), `s${index}`);
--- a/packages/entry/__tests__/retryBudgets.spec.ts
+++ b/packages/entry/__tests__/retryBudgets.spec.ts
@@ -36,7 +36,7 @@
 }
 
 describe('the retry budget that all entries share', () => {
-  it('is not exceeded by entries that have all just started and do not know of each other', () => {
+  it('is not exceeded by entries that started together and do not know each other yet', () => {
     const { clock, spendAll } = createEntries();
     const atOnce = spendAll(20);
     clock.advance(1500);
@@ -46,14 +46,14 @@
     assert.ok(atOnce + later + spendAll(20) <= LIMITS.allowance, `${atOnce} retries at once`);
   });
 
-  it('has its share for each of them once they have had time to hear of each other', () => {
+  it('is shared among the entries once they have had time to learn of each other', () => {
     const { clock, spendAll } = createEntries();
     clock.advance(MEMBERS_KNOWN_MS);
     const spent = spendAll(20);
     assert.ok(spent > 0 && spent <= LIMITS.allowance, `${spent}`);
   });
 
-  it('lets an entry that has just started repeat what its own requests earn', () => {
+  it('lets an entry that has just started use the retries that its own requests earn', () => {
     const { spendAll, earnAll } = createEntries();
     earnAll(20);
     assert.equal(spendAll(20), VMS * 5);
--- a/packages/entry/__tests__/slotBackoff.spec.ts
+++ b/packages/entry/__tests__/slotBackoff.spec.ts
@@ -4,7 +4,7 @@
 import { ADMITTED, completeAccount, createDataCentre } from './slotFixtures';
 import type { Vm } from './slotFixtures';
 
-describe('slots beside chains that turn requests away', () => {
+describe('slots while chains reject requests', () => {
   it('gives a VM no chain that backs off for it, and gives that chain to others', async () => {
     const site = createDataCentre(3, ['c1', 'c2']);
     await site.pass(1500);
@@ -24,7 +24,7 @@
     assert.equal(site.inFlight('c2'), 20);
   });
 
-  it('refuses at once a VM for which every chain backs off', async () => {
+  it('refuses a request at once if every chain backs off for its VM', async () => {
     const site = createDataCentre(3, ['c1']);
     await site.pass(1500);
     const [backedOffVm, other] = site.vms as [Vm, Vm];
@@ -37,7 +37,7 @@
     assert.equal(granted[0]?.kind, 'granted');
   });
 
-  it('refuses at once a request that every chain turned away, and waits with a begun one', async () => {
+  it('refuses a request at once if every chain rejected it, but queues a begun stream', async () => {
     const site = createDataCentre(3, ['c1']);
     await site.pass(1500);
     const vm = site.vms[0] as Vm;
@@ -52,7 +52,7 @@
     assert.equal(begun[0]?.kind, 'granted');
   });
 
-  it('keeps no slot idle for those at the head of the queue for whom its chain backs off', async () => {
+  it('keeps no slot idle while its chain backs off for the VM of the first queued requests', async () => {
     const site = createDataCentre(4, ['c1', 'c2']);
     await completeAccount(site);
     const [backedOffVm, other, filler] = site.vms as [Vm, Vm, Vm];
@@ -75,7 +75,7 @@
     assert.equal(ahead.flat().filter(({ kind }) => kind === 'granted').length, 0);
   });
 
-  it('gives a slot again at once when its stream ended before anybody listed it', async () => {
+  it('reuses a slot at once if its stream ended before it was ever listed', async () => {
     const site = createDataCentre(2, ['c1']);
     await completeAccount(site);
     const vm = site.vms[0] as Vm;
--- a/packages/entry/__tests__/slotPermits.spec.ts
+++ b/packages/entry/__tests__/slotPermits.spec.ts
@@ -17,7 +17,7 @@
 }
 
 describe('the permit of a slot', () => {
-  it('is not returned when its request was sent, however soon that ended', async () => {
+  it('is not refunded once its request was sent, however soon that ended', async () => {
     const { site, vm } = await startLimited();
     const fromMs = site.clock.nowMs();
     const granted: string[] = [];
@@ -35,7 +35,7 @@
     assert.ok(granted.length <= PER_S * 6 + 3, `${granted.length} in six seconds`);
   });
 
-  it('goes to the next one when its request was granted elsewhere', async () => {
+  it('is refunded when its request was granted a slot elsewhere', async () => {
     const site = createLimitedSite({ vms: 3 });
     await site.pass(1500);
     await site.callFor(1400, 20);
--- a/packages/entry/__tests__/slots.spec.ts
+++ b/packages/entry/__tests__/slots.spec.ts
@@ -25,7 +25,7 @@
     assert.equal(results.flat().length, 240);
   });
 
-  it('fills two chains alike, and gives a slot again within a tenth of a second', async () => {
+  it('balances two chains, and reuses a released slot within 100 ms', async () => {
     const site = createDataCentre(60, ['c1', 'c2']);
     await site.pass(1500);
     // 188 slots of two seconds each serve 94 a second.
@@ -35,7 +35,7 @@
     assert.ok(Math.abs((peaks.get('c1') ?? 0) - (peaks.get('c2') ?? 0)) < 10);
   });
 
-  it('refuses at once what would wait in vain', async () => {
+  it('refuses a request at once if it would wait in vain', async () => {
     const site = createDataCentre(60, ['c1']);
     await site.pass(1500);
     await runLoad(site, 150, 4000, 2000, 0);
@@ -107,7 +107,7 @@
     assert.ok((peaks.get('c1') ?? 0) <= CAPACITY * 1.1, String(peaks.get('c1')));
   });
 
-  it('does not turn from a VM that is slow for a moment to the next one', async () => {
+  it('does not fall back to the next VM when the allocator is slow for a moment', async () => {
     const site = createDataCentre(30, ['c1']);
     await site.pass(1500);
     const allocatorVm = site.allocator();
@@ -122,7 +122,7 @@
     );
   });
 
-  it('frees the slots of a VM that ended, once their lease has run out', async () => {
+  it('releases the slots of a failed VM when their lease expires', async () => {
     const site = createDataCentre(3, ['c1']);
     await site.pass(1500);
     const allocatorVm = site.allocator();
@@ -141,7 +141,7 @@
     assert.equal(after[0]?.kind, 'granted');
   });
 
-  it('sends nobody else over an engine that turned a request of one VM away', async () => {
+  it('excludes an engine for all VMs after it rejected a request of one VM', async () => {
     const site = createDataCentre(4, ['c1', 'c2']);
     await site.pass(1500);
     const [a, b] = site.vms as [Vm, Vm];
@@ -158,7 +158,7 @@
     assert.ok(site.inFlight('c1') > 0);
   });
 
-  it('puts the rest of a begun stream before new ones', async () => {
+  it('prefers a stream that has begun to new ones', async () => {
     const site = createDataCentre(4, ['c1']);
     await site.pass(1500);
     const [a, b] = site.vms as [Vm, Vm];
@@ -171,7 +171,7 @@
     assert.equal(fresh.flat().length, 0);
   });
 
-  it('leaves an entry on its own where nobody gives out slots', async () => {
+  it('reports slots as unavailable to an entry that reaches no allocator', async () => {
     const site = createDataCentre(1, ['c1']);
     await site.pass(1500);
     const [vm] = site.vms as [Vm];
--- a/packages/entry/__tests__/standIns.spec.ts
+++ b/packages/entry/__tests__/standIns.spec.ts
@@ -7,7 +7,7 @@
 const STREAMS = 80;
 
 describe('the streams of a lost engine', () => {
-  it('are spread over all engines that can take its part', () => {
+  it('are spread over all engines that can replace it', () => {
     const { view, announce } = createTables();
     const standIns = ['a3', 'a4', 'a5'];
     announce(createEngine('a1', 0, 4));
