--- a/packages/entry/src/slots/slotAllocator.ts
+++ b/packages/entry/src/slots/slotAllocator.ts
@@ -69,7 +69,7 @@
 const ABANDONED_AFTER_MS = 900;
 /** Interval at which the queue looks for slots. A released slot is reported within about 30 ms. */
 const POLL_MS = 20;
-/** Bounds memory; far more requests than arrive within the maximum waiting time. */
+/** Bounds memory; far above the number of requests that arrive within the maximum wait. */
 const MAX_QUEUE_LENGTH = 600;
 
 export function createSlotAllocator(options: SlotAllocatorOptions): SlotAllocator {
--- a/packages/entry/src/slots/slotFinder.ts
+++ b/packages/entry/src/slots/slotFinder.ts
@@ -64,13 +64,13 @@
 /** Callers wait two seconds for a first event; the rest of that is for one failed attempt. */
 const MAX_ADMISSION_WAIT_MS = 1200;
 const ADMISSION_POLL_MS = 15;
-/** Ratio of the 90th percentile of the time to first event to its mean. */
+/** 90th percentile of the time to first event, relative to its mean. */
 const FIRST_EVENT_SPREAD = 1.5;
 /** About two seconds of the traffic of a busy entry. */
 const MAX_QUEUE_LENGTH = 30;
 /**
  * Longest pause of a begun stream that waits for free capacity. Callers give up after two seconds,
- * and the prefill may take half a second again on a full chain.
+ * and repeating the prefill may take half a second on a full chain.
  */
 const MAX_STREAM_PAUSE_MS = 1400;
 const CHAIN_POLL_MS = 50;
