--- a/packages/entry/__tests__/crashGuard.spec.ts
+++ b/packages/entry/__tests__/crashGuard.spec.ts
@@ -57,13 +57,14 @@
   return {
     guard,
     clock,
-    /** Hears that an incarnation of a server is at an address. */
+    /** Receives the announcement of a server incarnation at an address. */
     announce(instanceId: string, address: string, sequence = 1): void {
       const { incarnation } = parseInstanceId(instanceId);
       const body = createEngine(instanceId, 0, 8, { address });
       table.put(FACT_KEYS.backend(instanceId), { incarnation, sequence }, body);
     },
-    hear: (updates: readonly FactUpdate<SystemFact>[]) => table.merge(updates, clock.nowMs(), 'c'),
+    mergeFacts: (updates: readonly FactUpdate<SystemFact>[]) =>
+      table.merge(updates, clock.nowMs(), 'c'),
   };
 }
 
@@ -77,20 +78,20 @@
 }
 
 describe('a stream whose content three servers have ended under', () => {
-  it('is ended while it waits for an answer, and left alone once it has events', async () => {
+  it('is cut while it waits for an answer, but not once it has events', async () => {
     const waiting = createRow('deadly');
     const begun = createRow('deadly', { hasBegun: true });
     const other = createRow('other');
-    const { hear } = createSetting({ rows: [waiting.row, begun.row, other.row] });
-    hear(createCrashes(waiting.digest, ['s1', 's2', 's3'], 80));
+    const { mergeFacts } = createSetting({ rows: [waiting.row, begun.row, other.row] });
+    mergeFacts(createCrashes(waiting.digest, ['s1', 's2', 's3'], 80));
     await Promise.resolve();
     assert.deepEqual([waiting.cuts, begun.cuts, other.cuts], [['quarantined'], [], []]);
   });
 
-  it('is not ended for ends that the rest of the same exchange explains', async () => {
+  it('is not cut for crashes that the rest of the same exchange explains', async () => {
     const unlucky = createRow('unlucky');
-    const { hear } = createSetting({ rows: [unlucky.row] });
-    hear([
+    const { mergeFacts } = createSetting({ rows: [unlucky.row] });
+    mergeFacts([
       ...createCrashes(unlucky.digest, ['s1', 's2', 's3'], 70),
       ...createCrashes('deadly', ['s1', 's2', 's3', 's4'], 80),
     ]);
@@ -119,10 +120,10 @@
   return contents.flatMap(({ ends }) => ends.map(({ instanceId }) => instanceId));
 }
 
-describe('a run that broke off at a server that is there', () => {
+describe('a run that broke off on a server that accepts connections', () => {
   const RUN = { content: 'c', instanceId: 'e1/7', address: 'e1:80', ranMs: 40 };
 
-  it('is no end for a VM that has heard only of an earlier incarnation, or an earlier server there', async () => {
+  it('is no crash while only an earlier incarnation, or an earlier server, is known at the address', async () => {
     for (const earlier of ['e1/6', 'e9']) {
       const { guard, clock, announce } = createSetting({ isThere: true });
       announce(earlier, 'e1:80');
@@ -136,7 +137,7 @@
     }
   });
 
-  it('is an end once another server has announced itself there', async () => {
+  it('is a crash once another server has announced itself at the address', async () => {
     const { guard, clock, announce } = createSetting({ isThere: true });
     await guard.crashes.record(RUN);
     clock.advance(500);
@@ -146,20 +147,20 @@
     assert.equal(suspected?.content, 'c');
   });
 
-  it('is held against the next incarnation where that had announced itself before', async () => {
+  it('counts for the next incarnation if that had announced itself before', async () => {
     const { guard, clock, announce } = createSetting({ isThere: true });
     announce('e1/8', 'e1:80');
     clock.advance(100);
     await guard.crashes.record(RUN);
     guard.crashes.tick();
-    assert.deepEqual(guard.quarantine.describe(), [], 'that may live');
+    assert.deepEqual(guard.quarantine.describe(), [], 'the next incarnation may live');
     clock.advance(500);
     announce('e1/9', 'e1:80');
     guard.crashes.tick();
     assert.deepEqual(listEnds(guard), ['e1/8']);
   });
 
-  it('is held against the incarnation that it was sent to where the next one came later', async () => {
+  it('counts for the incarnation that it was sent to if the next one came later', async () => {
     const { guard, clock, announce } = createSetting({ isThere: false });
     clock.advance(100);
     announce('e1/8', 'e1:80');
--- a/packages/entry/__tests__/crashReporter.spec.ts
+++ b/packages/entry/__tests__/crashReporter.spec.ts
@@ -13,14 +13,14 @@
 interface Setting {
   readonly isThere?: boolean;
   readonly isSuspected?: boolean;
-  /** How many VMs are to speak first of what another one stated. */
+  /** Number of VMs that report another VM's open run before this one. */
   readonly rank?: number;
 }
 
 function createSetting({ isThere = true, isSuspected = false, rank = 0 }: Setting = {}) {
   const clock = createManualClock();
   const ended = new Set<string>();
-  let ranked = 0;
+  let rankingCount = 0;
   /** The next incarnation of a server, and when it announced itself. */
   const next = new Map<string, { readonly instanceId: string; readonly atMs: number }>();
   const seen: string[] = [];
@@ -37,14 +37,14 @@
     table,
     state: statements.state,
     isSuspected: () => isSuspected,
-    isThere: () => Promise.resolve(isThere),
+    isReachable: () => Promise.resolve(isThere),
     findReceiver({ instanceId }, sentAtMs) {
       const after = next.get(instanceId);
       return after && after.atMs < sentAtMs ? after.instanceId : instanceId;
     },
     hasEnded: ({ instanceId }) => ended.has(instanceId) || next.has(instanceId),
     rankOf() {
-      ranked += 1;
+      rankingCount += 1;
       return rank;
     },
     onEnd({ instanceId, turn, evidence }) {
@@ -58,15 +58,16 @@
   return {
     clock,
     ended,
-    /** Hears of an incarnation that announced itself some time ago, and now again. */
+    /** Receives the next incarnation of a server, which first announced itself `ageMs` ago. */
     restart(instanceId: string, nextId: string, ageMs: number) {
       next.set(instanceId, { instanceId: nextId, atMs: clock.nowMs() - ageMs });
     },
     seen,
-    countRankings: () => ranked,
+    countRankings: () => rankingCount,
     reporter,
-    tell: () => statements.list(),
-    hear: (updates: readonly FactUpdate<SystemFact>[]) => table.merge(updates, clock.nowMs(), 'c'),
+    listUpdates: () => statements.list(),
+    mergeFacts: (updates: readonly FactUpdate<SystemFact>[]) =>
+      table.merge(updates, clock.nowMs(), 'c'),
   };
 }
 
@@ -74,7 +75,7 @@
   contentOf(createAdmitted(createManualClock(100_000), createRoute('stream')));
 
 describe('a run whose connection broke', () => {
-  it('counts as an end when its server accepts no connection any more', async () => {
+  it('counts as a crash when its server accepts no more connections', async () => {
     const { reporter, seen } = createSetting({ isThere: false });
     await reporter.record(RUN);
     assert.deepEqual(seen, ['s1']);
@@ -90,7 +91,7 @@
     assert.deepEqual(seen, []);
   });
 
-  it('counts as an end when its server was back before anybody looked, and says so later', async () => {
+  it('counts as a crash later if its server had restarted before it was checked', async () => {
     const { reporter, seen, clock, ended } = createSetting();
     await reporter.record(RUN);
     clock.advance(2000);
@@ -111,7 +112,7 @@
     assert.deepEqual(seen, []);
   });
 
-  it('is not looked at again when another VM has found its server lost', async () => {
+  it('counts as a crash at once when another VM has found its server lost', async () => {
     const { reporter, seen, ended } = createSetting();
     ended.add('s1');
     await reporter.record(RUN);
@@ -119,11 +120,11 @@
   });
 });
 
-describe('a run that another VM has stated and left open', () => {
-  it('counts as an end once the server has ended, after those who are to speak first', async () => {
+describe('an open run of another VM', () => {
+  it('is reported once the server has ended, after the VMs ranked before this one', async () => {
     const [stater, other] = [createSetting(), createSetting({ rank: 2 })];
     await stater.reporter.record(RUN);
-    other.hear(stater.tell());
+    other.mergeFacts(stater.listUpdates());
     other.reporter.tick();
     other.ended.add('s1');
     const seen = [0, 299, 1].map((passedMs) => {
@@ -137,7 +138,7 @@
   it('costs no ranking of all VMs until the server has ended, and one then', async () => {
     const [stater, other] = [createSetting(), createSetting({ rank: 2 })];
     await stater.reporter.record(RUN);
-    other.hear(stater.tell());
+    other.mergeFacts(stater.listUpdates());
     const counts = [false, true].map((hasEnded) => {
       if (hasEnded) other.ended.add('s1');
       for (let tick = 0; tick < 5; tick += 1) {
@@ -152,14 +153,14 @@
   it('counts for nothing when the server ends long after', async () => {
     const [stater, other] = [createSetting(), createSetting()];
     await stater.reporter.record(RUN);
-    other.hear(stater.tell());
+    other.mergeFacts(stater.listUpdates());
     other.clock.advance(8000);
     other.ended.add('s1');
     other.reporter.tick();
     assert.deepEqual(other.seen, []);
   });
 
-  it('is bounded in number: the oldest are left out first', async () => {
+  it('is limited in number; the oldest are dropped first', async () => {
     const { reporter, ended, seen } = createSetting();
     for (let count = 0; count <= 512; count += 1) {
       await reporter.record({ ...RUN, instanceId: `s${count}` });
@@ -181,7 +182,7 @@
     assert.deepEqual(seen, ['s1', 's1#1']);
   });
 
-  it('are one where the second was under way already', async () => {
+  it('are one if the second was already in flight', async () => {
     const { reporter, clock, ended, seen } = createSetting();
     await reporter.record(RUN);
     clock.advance(RUN.ranMs);
@@ -191,7 +192,7 @@
     assert.deepEqual(seen, ['s1']);
   });
 
-  it('are not told apart by attempts, which may have come after the end and reached nobody', async () => {
+  it('are not distinguished by attempts, which may have reached no server after the crash', async () => {
     const { reporter, clock, ended, seen } = createSetting({ isSuspected: true });
     const content = createContent();
     await reporter.record({ ...RUN, content: digestContent(content) });
@@ -218,7 +219,7 @@
     assert.deepEqual(seen, ['s1', 'attempt s1/2']);
   });
 
-  it('are one when the next incarnation announced itself after both were sent', async () => {
+  it('are one if the next incarnation announced itself after both were sent', async () => {
     const { reporter, clock, seen, restart } = createSetting({ isSuspected: true });
     const content = createContent();
     await reporter.record({ ...RUN, content: digestContent(content) });
@@ -230,7 +231,7 @@
     assert.deepEqual(seen, ['s1', 'attempt s1']);
   });
 
-  it('are no end while the server lives, however often its connections break', async () => {
+  it('are no crash while the server lives, however often its connections break', async () => {
     const { reporter, clock, seen } = createSetting();
     for (let count = 0; count < 5; count += 1) {
       await reporter.record(RUN);
@@ -242,22 +243,22 @@
 });
 
 describe('an attempt that is about to be sent', () => {
-  it('is stated where servers have ended under its content, and only there', () => {
-    const told = [true, false].map((isSuspected) => {
-      const { reporter, tell } = createSetting({ isSuspected });
+  it('is published only if servers have ended under its content', () => {
+    const published = [true, false].map((isSuspected) => {
+      const { reporter, listUpdates } = createSetting({ isSuspected });
       reporter.recordSend(createContent(), RUN);
-      return tell().map(({ body }) => body);
+      return listUpdates().map(({ body }) => body);
     });
-    const [stated] = told[0] ?? [];
+    const [stated] = published[0] ?? [];
     assert.ok(stated?.kind === 'open-run');
     assert.deepEqual(
       [stated.content, stated.evidence],
       [digestContent(createContent()), 'attempt'],
     );
-    assert.deepEqual(told[1], []);
+    assert.deepEqual(published[1], []);
   });
 
-  it('counts as no more than that when its server ends, also the second one at a run', () => {
+  it('stays an attempt when its server ends, as does a second one on the same run', () => {
     const { reporter, clock, ended, seen } = createSetting({ isSuspected: true });
     reporter.recordSend(createContent(), RUN);
     clock.advance(9000);
--- a/packages/entry/__tests__/namedLimits.spec.ts
+++ b/packages/entry/__tests__/namedLimits.spec.ts
@@ -2,14 +2,14 @@
 import { describe, it } from 'node:test';
 import { createLimitedSite } from './limitFixtures';
 import type { LimitedSite, LimitedSiteOptions } from './limitFixtures';
-import { aimed, playSchedule } from './limitSchedules';
+import { targetBound, playSchedule } from './limitSchedules';
 import type { Vm } from './slotFixtures';
 
 const USED_SHARE = 0.9;
-/** Callers come for so many times a limit. */
-const PRESSURE = 4;
+/** Rate of calls as a multiple of the limit. */
+const OVERLOAD_FACTOR = 4;
 
-/** A site on which everybody knows of everybody, and callers have come for a while. */
+/** Starts a site on which all VMs know each other and callers have been calling for a while. */
 async function start(options: LimitedSiteOptions): Promise<LimitedSite> {
   const site = createLimitedSite(options);
   await site.pass(1500);
@@ -17,24 +17,24 @@
   return site;
 }
 
-function assertAimed(site: LimitedSite, id = 'c1'): void {
-  const excess = site.worstExcess(id, aimed);
+function assertWithinTarget(site: LimitedSite, id = 'c1'): void {
+  const excess = site.worstExcess(id, targetBound);
   assert.ok(excess <= 0, `${excess} too many in the worst window`);
 }
 
 async function callUnderLimit(site: LimitedSite, perS: number, durationMs: number): Promise<void> {
   site.setLimit('c1', perS);
-  await site.callFor(durationMs, perS * PRESSURE);
+  await site.callFor(durationMs, perS * OVERLOAD_FACTOR);
 }
 
-describe('the limit that a server names', () => {
+describe('the rate limit that a server sets', () => {
   for (const vms of [2, 11, 78, 300]) {
     for (const perS of [0.5, 3.2, 30]) {
       it(`is kept by ${vms} VMs together, and used: ${perS} a second`, async () => {
         const site = await start({ vms });
         const windowMs = Math.max(8000, 8000 / perS);
         await callUnderLimit(site, perS, windowMs + 2000);
-        assertAimed(site);
+        assertWithinTarget(site);
         const nowMs = site.clock.nowMs();
         const used = site.usedShare('c1', nowMs - windowMs, nowMs);
         assert.ok(used >= USED_SHARE, `used to ${used}`);
@@ -42,30 +42,30 @@
     }
   }
 
-  it('is used by the one VM that has all the callers', async () => {
+  it('is used up by a single VM that has all callers', async () => {
     const site = await start({ vms: 78 });
     const [only] = site.vms;
     site.setLimit('c1', 3.2);
     await site.callFor(10_000, 13, () => only);
-    assertAimed(site);
+    assertWithinTarget(site);
     const nowMs = site.clock.nowMs();
     assert.ok(site.usedShare('c1', nowMs - 8000, nowMs) >= USED_SHARE);
   });
 
-  it('stands though it is named with every other answer only', async () => {
+  it('stays in force when only every other answer contains it', async () => {
     const site = await start({ vms: 11 });
-    site.nameEvery(2);
+    site.setNamingInterval(2);
     await callUnderLimit(site, 3.2, 20_000);
-    assertAimed(site);
+    assertWithinTarget(site);
   });
 
-  it('is followed up and down', async () => {
+  it('is followed when it rises and falls', async () => {
     const site = await start({ vms: 11 });
     for (const perS of [8, 2, 12, 0.5, 6]) await callUnderLimit(site, perS, 6000);
-    assertAimed(site);
+    assertWithinTarget(site);
   });
 
-  it('is lifted by answers that name it no longer, within a second or so and without a rush', async () => {
+  it('ends within about a second, without a burst, when answers no longer contain it', async () => {
     const site = await start({ vms: 11 });
     await callUnderLimit(site, 3.2, 6000);
     site.setLimit('c1', null);
@@ -84,7 +84,7 @@
     );
   });
 
-  it('is not lifted by late answers to requests that were sent before it was named', async () => {
+  it('is not ended by late answers to requests sent before it was set', async () => {
     const site = await start({ vms: 3 });
     const [vm] = site.vms as [Vm];
     const target = { instanceId: 'c1', address: 'c1:1' };
@@ -94,10 +94,10 @@
       vm.limits.recordAnswer(target, { kind: 'unnamed' }, sentAtMs);
     }
     await callUnderLimit(site, 3.2, 4000);
-    assertAimed(site);
+    assertWithinTarget(site);
   });
 
-  it('of nothing at all is asked after, so that its end is noticed', async () => {
+  it('is probed when it is zero, so that its end is noticed', async () => {
     const site = await start({ vms: 11 });
     site.setLimit('c1', 0);
     await site.callFor(1000, 10);
@@ -112,16 +112,16 @@
     assert.ok(late >= 16, `${late} in the last two seconds`);
   });
 
-  it('is no matter of a server beside it', async () => {
+  it('does not affect another server', async () => {
     const site = await start({ vms: 11, servers: ['c1', 'c2'] });
     site.setLimit('c1', 3.2);
     site.outcomes.refused = 0;
     await site.callFor(8000, 20);
-    assertAimed(site);
+    assertWithinTarget(site);
     assert.equal(site.outcomes.refused, 0);
   });
 
-  it('sends callers away one after the other, at the rate that it allows', async () => {
+  it('spreads the retry times of refused callers at the rate that it allows', async () => {
     const site = await start({ vms: 11 });
     site.setLimit('c1', 3.2);
     await site.callFor(2000, 13);
@@ -139,29 +139,29 @@
     site.allocator().isUp = false;
     await site.callFor(4000, 13);
     await site.callFor(4000, 13);
-    assertAimed(site);
+    assertWithinTarget(site);
     const nowMs = site.clock.nowMs();
     const used = site.usedShare('c1', nowMs - 4000, nowMs);
     assert.ok(used >= USED_SHARE, `used to ${used}`);
   });
 
-  it('is kept by VMs that reach nobody, by their own quota alone', async () => {
+  it('is kept by the own quotas of VMs that reach no other VM', async () => {
     const site = await start({ vms: 11 });
     await callUnderLimit(site, 3.2, 4000);
     site.vms.forEach((vm) => {
       const cut = vm;
-      cut.isCut = true;
-      cut.isMute = true;
+      cut.isPartitioned = true;
+      cut.losesAnswers = true;
     });
     const cutAtMs = site.clock.nowMs();
     await site.callFor(12_000, 13);
-    assertAimed(site);
+    assertWithinTarget(site);
     const sent = site.arrivalsAt('c1').filter(({ atMs }) => atMs > cutAtMs + 1000);
     assert.ok(sent.length > 0, 'nobody sent anything');
   });
 });
 
-describe('a named limit in schedules of losses, cuts, restarts and changes', () => {
+describe('a rate limit under random failures, partitions, restarts and changes', () => {
   for (const [vms, seeds] of [
     [2, 60],
     [11, 60],
@@ -176,7 +176,7 @@
     });
   }
 
-  it('is never exceeded beyond its slack by VMs that start again without a configuration', async () => {
+  it('is never exceeded beyond its slack by VMs that restart without a configuration', async () => {
     for (const [vms, configuredAfterMs] of [
       [2, 600],
       [3, 600],
--- a/packages/entry/__tests__/quarantine.spec.ts
+++ b/packages/entry/__tests__/quarantine.spec.ts
@@ -18,14 +18,14 @@
 
 interface Vm {
   readonly quarantine: Quarantine;
-  /** Statements that were to be passed on at once. */
+  /** Number of statements that requested an immediate exchange. */
   readonly spreads: () => number;
-  /** A server ends while it runs a content. */
+  /** Records the crash of a server while it ran a content. */
   end(content: RequestContent, instanceId: string, ranMs?: number): void;
-  /** What it states with an exchange. */
+  /** The facts that the VM publishes with an exchange. */
   state(): readonly FactUpdate<SystemFact>[];
-  hear(updates: readonly FactUpdate<SystemFact>[]): void;
-  /** Everything it knows, as a VM that starts is told. */
+  mergeFacts(updates: readonly FactUpdate<SystemFact>[]): void;
+  /** All facts of the VM, as a starting VM receives them. */
   listAll(): readonly FactUpdate<SystemFact>[];
   sweep(): void;
 }
@@ -65,7 +65,7 @@
       quarantine.recordEnd({ ...run, evidence: 'run' });
     },
     state: () => quarantine.listStatements(),
-    hear: (updates) => table.merge(updates, clock.nowMs(), name),
+    mergeFacts: (updates) => table.merge(updates, clock.nowMs(), name),
     listAll: () => table.deltaSince('', 0).updates,
     sweep() {
       table.sweep(retentionOf);
@@ -84,8 +84,8 @@
   return 'none';
 }
 
-describe('a content that ends servers', () => {
-  it('is refused as not run, with when to come back, once three have ended', () => {
+describe('a content that crashes servers', () => {
+  it('is refused as not run, with a retry time, once three servers have crashed', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     ['s1', 's2'].forEach((id) => vm.end(deadly, id));
@@ -105,7 +105,7 @@
     );
   });
 
-  it('is not the same as that of another organisation, nor as another body', () => {
+  it('differs from the content of another organisation, and from another body', () => {
     const vm = createVm(createManualClock());
     ['s1', 's2', 's3'].forEach((id) => vm.end(createContent('deadly'), id));
     assert.equal(vm.quarantine.has(createContent('deadly', 'other')), false);
@@ -119,17 +119,17 @@
     const deadly = createContent('deadly');
     a.end(deadly, 's1');
     b.end(deadly, 's2');
-    // Two copies were on one run, sent by two VMs: that is one end.
+    // Two copies of the request, sent by two VMs, were on one run: one crash.
     a.end(deadly, 's3');
     b.end(deadly, 's3');
-    b.hear(a.state());
-    a.hear(b.state());
+    b.mergeFacts(a.state());
+    a.mergeFacts(b.state());
     assert.deepEqual([a.quarantine.has(deadly), b.quarantine.has(deadly)], [true, true]);
     const ends = (a.quarantine.describe() as { ends: unknown[] }[])[0]?.ends.length;
     assert.equal(ends, 3);
   });
 
-  it('is not stated again for each copy that was on one run', () => {
+  it('is reported once for a run, however many copies of the request were on it', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     for (let copy = 0; copy < 5; copy += 1) vm.end(deadly, 's1', 80 + copy);
@@ -143,26 +143,26 @@
     ['s1', 's2', 's3'].forEach((id) => vm.end(deadly, id));
     clock.advance(60_000);
     const fresh = createVm(clock, 'b');
-    fresh.hear(vm.listAll());
+    fresh.mergeFacts(vm.listAll());
     assert.equal(fresh.quarantine.has(deadly), true);
   });
 
-  it('is told again to control VMs that have all started anew, by VMs that saw nothing of it', () => {
+  it('is republished to restarted control VMs by VMs that did not see the crashes', () => {
     const clock = createManualClock();
     const reporter = createVm(clock, 'a');
     const deadly = createContent('deadly');
     ['s1', 's2', 's3'].forEach((id) => reporter.end(deadly, id));
     const bystander = createVm(clock, 'b');
-    bystander.hear(reporter.listAll());
+    bystander.mergeFacts(reporter.listAll());
     clock.advance(10_000);
     const control = createVm(clock, 'c');
-    control.hear(bystander.state());
+    control.mergeFacts(bystander.state());
     assert.equal(control.quarantine.has(deadly), true);
-    // Not with each exchange, though: they would be most of what is exchanged.
+    // Not with each exchange, of which these facts would otherwise make up most.
     assert.deepEqual(bystander.state(), []);
   });
 
-  it('is sent on by the router itself after one end, and not after two', () => {
+  it('is retried by the router itself after one crash, but not after two', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     vm.end(deadly, 's1');
@@ -172,7 +172,7 @@
     assert.equal(vm.quarantine.maySendOn(createContent('honest')), true);
   });
 
-  it('is counted once for a run that was stated as an attempt before', () => {
+  it('is counted once for a run that was reported as an attempt before', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     const content = digestContent(deadly);
@@ -186,7 +186,7 @@
     assert.equal(vm.quarantine.has(deadly), true);
   });
 
-  it('is counted for each of the runs that were sent to under one name', () => {
+  it('is counted for each of several runs under one instance id', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     const run = { content: digestContent(deadly), instanceId: 's1', ranMs: 40 };
@@ -194,7 +194,7 @@
     assert.equal(vm.quarantine.has(deadly), true);
   });
 
-  it('is sent on by the router itself after one end that was stated twice', () => {
+  it('is retried by the router itself after one crash that was reported twice', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     vm.end(deadly, 's1');
@@ -203,7 +203,7 @@
     assert.equal(vm.quarantine.maySendOn(deadly), true);
   });
 
-  it('is cleared of the ends so far when it is run somewhere, and only of those', () => {
+  it('is cleared of the earlier crashes when it is served, but not of later ones', () => {
     const clock = createManualClock();
     const vm = createVm(clock);
     const honest = createContent('honest');
@@ -218,15 +218,15 @@
     assert.equal(vm.quarantine.has(honest), true);
   });
 
-  it('is cleared at other VMs too, by an exchange', () => {
+  it('is cleared on other VMs through an exchange', () => {
     const clock = createManualClock();
     const [a, b] = [createVm(clock, 'a'), createVm(clock, 'b')];
     const honest = createContent('honest');
     ['s1', 's2', 's3'].forEach((id) => a.end(honest, id));
-    b.hear(a.state());
+    b.mergeFacts(a.state());
     clock.advance(50);
     a.quarantine.recordServed(honest);
-    b.hear(a.state());
+    b.mergeFacts(a.state());
     assert.equal(b.quarantine.has(honest), false);
   });
 
@@ -237,16 +237,16 @@
     for (let round = 0; round < 3; round += 1) {
       clock.advance(60_000);
       ['s1', 's2', 's3'].forEach((id) => a.end(honest, `${id}/${round}`));
-      b.hear(a.state());
+      b.mergeFacts(a.state());
       assert.deepEqual([a.quarantine.has(honest), b.quarantine.has(honest)], [true, true]);
       clock.advance(50);
       a.quarantine.recordServed(honest);
-      b.hear(a.state());
+      b.mergeFacts(a.state());
       assert.deepEqual([a.quarantine.has(honest), b.quarantine.has(honest)], [false, false]);
     }
   });
 
-  it('is not suspected where it was run well lately, as when all servers lose power at once', () => {
+  it('is not suspected if it was served recently, as when all servers lose power at once', () => {
     const clock = createManualClock();
     const vm = createVm(clock);
     const shared = createContent('shared by all callers');
@@ -254,13 +254,13 @@
     clock.advance(30_000);
     ['s1', 's2', 's3'].forEach((id) => vm.end(shared, id));
     assert.equal(vm.quarantine.has(shared), false);
-    assert.equal(vm.spreads(), 0, 'there is nothing to tell others');
+    assert.equal(vm.spreads(), 0, 'nothing is published');
     clock.advance(60_000);
     ['s4', 's5', 's6'].forEach((id) => vm.end(shared, id));
     assert.equal(vm.quarantine.has(shared), true);
   });
 
-  it('is cleared for all by a VM that ran it well lately', () => {
+  it('is cleared for all VMs by a VM that served it recently', () => {
     const clock = createManualClock();
     const [a, b] = [createVm(clock, 'a'), createVm(clock, 'b')];
     const shared = createContent('shared by all callers');
@@ -268,13 +268,13 @@
     clock.advance(1000);
     ['s1', 's2', 's3'].forEach((id) => a.end(shared, id));
     assert.equal(a.quarantine.has(shared), true);
-    b.hear(a.state());
+    b.mergeFacts(a.state());
     assert.equal(b.quarantine.has(shared), false);
-    a.hear(b.state());
+    a.mergeFacts(b.state());
     assert.equal(a.quarantine.has(shared), false);
   });
 
-  it('is let go by an operator, who names it by its digest', () => {
+  it('is released by an operator by its digest', () => {
     const clock = createManualClock();
     const vm = createVm(clock);
     const deadly = createContent('deadly');
@@ -285,7 +285,7 @@
     assert.equal(vm.quarantine.has(deadly), false);
   });
 
-  it('is forgotten in time, unless it keeps coming', () => {
+  it('expires, unless it keeps coming', () => {
     const clock = createManualClock();
     const vm = createVm(clock);
     const [gone, coming] = [createContent('gone'), createContent('coming')];
@@ -303,7 +303,7 @@
     assert.equal(vm.quarantine.has(coming), true);
   });
 
-  it('does not push out those in quarantine when very many contents are suspected', () => {
+  it('stays in quarantine when very many contents are suspected', () => {
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     for (let index = 0; index < 1500; index += 1) vm.end(createContent(`c${index}`), `s${index}`);
--- a/packages/entry/__tests__/retryBudgets.spec.ts
+++ b/packages/entry/__tests__/retryBudgets.spec.ts
@@ -6,22 +6,22 @@
 const LIMITS = { windowMs: 10_000, ratio: 0.2, allowance: 200 };
 const VMS = 78;
 
-/** Entries that all start at one moment, and hear of each other a second later. */
+/** Creates entries that start at the same time and learn of each other a second later. */
 function createEntries() {
   const clock = createManualClock(100_000);
   const startedAtMs = clock.nowMs();
-  const hearsOthers = () => clock.nowMs() - startedAtMs >= 1000;
+  const knowsOthers = () => clock.nowMs() - startedAtMs >= 1000;
   const budgets = Array.from({ length: VMS }, () =>
     createRetryBudgets({
       clock,
       limits: LIMITS,
-      entries: () => (hearsOthers() ? VMS : 1),
+      entries: () => (knowsOthers() ? VMS : 1),
       firstSyncedAtMs: () => startedAtMs,
     }),
   );
   return {
     clock,
-    /** Retries that all of them allow now, when each wants so many. */
+    /** Total number of retries that the entries allow now, if each requests `each` of them. */
     spendAll: (each: number) =>
       budgets.reduce((sum, budgetOf) => {
         const budget = budgetOf('engines');
@@ -36,7 +36,7 @@
 }
 
 describe('the retry budget that all entries share', () => {
-  it('is not exceeded by entries that have all just started and do not know of each other', () => {
+  it('is not exceeded by entries that started together and do not know each other yet', () => {
     const { clock, spendAll } = createEntries();
     const atOnce = spendAll(20);
     clock.advance(1500);
@@ -46,14 +46,14 @@
     assert.ok(atOnce + later + spendAll(20) <= LIMITS.allowance, `${atOnce} retries at once`);
   });
 
-  it('has its share for each of them once they have had time to hear of each other', () => {
+  it('is shared among the entries once they have had time to learn of each other', () => {
     const { clock, spendAll } = createEntries();
     clock.advance(MEMBERS_KNOWN_MS);
     const spent = spendAll(20);
     assert.ok(spent > 0 && spent <= LIMITS.allowance, `${spent}`);
   });
 
-  it('lets an entry that has just started repeat what its own requests earn', () => {
+  it('lets an entry that has just started use the retries that its own requests earn', () => {
     const { spendAll, earnAll } = createEntries();
     earnAll(20);
     assert.equal(spendAll(20), VMS * 5);
--- a/packages/entry/__tests__/slotBackoff.spec.ts
+++ b/packages/entry/__tests__/slotBackoff.spec.ts
@@ -4,30 +4,32 @@
 import { ADMITTED, completeAccount, createDataCentre } from './slotFixtures';
 import type { Vm } from './slotFixtures';
 
-describe('slots beside chains that turn requests away', () => {
+describe('slots while chains reject requests', () => {
   it('gives a VM no chain that backs off for it, and gives that chain to others', async () => {
     const site = createDataCentre(3, ['c1', 'c2']);
     await site.pass(1500);
-    const [told, other] = site.vms as [Vm, Vm];
-    told.backingOff.add('c1');
+    const [backedOffVm, other] = site.vms as [Vm, Vm];
+    backedOffVm.backingOff.add('c1');
     const headsOf = (outcomes: readonly SlotOutcome[]) =>
       outcomes.map((outcome) => (outcome.kind === 'granted' ? outcome.chain.headId : outcome.kind));
-    const toTold = Array.from({ length: 20 }, (_, index) => site.send(told, `t${index}`));
+    const toBackedOff = Array.from({ length: 20 }, (_, index) =>
+      site.send(backedOffVm, `t${index}`),
+    );
     await site.pass(50);
     const toOther = Array.from({ length: 20 }, (_, index) => site.send(other, `o${index}`));
     await site.pass(50);
-    assert.deepEqual([...new Set(headsOf(toTold.flat()))], ['c2']);
+    assert.deepEqual([...new Set(headsOf(toBackedOff.flat()))], ['c2']);
     assert.equal(site.inFlight('c1'), 20, 'the emptier one goes to who may use it');
     assert.deepEqual([...new Set(headsOf(toOther.flat()))], ['c1']);
     assert.equal(site.inFlight('c2'), 20);
   });
 
-  it('refuses at once a VM for which every chain backs off', async () => {
+  it('refuses a request at once if every chain backs off for its VM', async () => {
     const site = createDataCentre(3, ['c1']);
     await site.pass(1500);
-    const [told, other] = site.vms as [Vm, Vm];
-    told.backingOff.add('c1');
-    const refused = site.send(told, 'in-vain');
+    const [backedOffVm, other] = site.vms as [Vm, Vm];
+    backedOffVm.backingOff.add('c1');
+    const refused = site.send(backedOffVm, 'in-vain');
     const granted = site.send(other, 'well');
     await site.pass(10);
     const reasons = refused.map((outcome) => (outcome.kind === 'refused' ? outcome.reason : ''));
@@ -35,7 +37,7 @@
     assert.equal(granted[0]?.kind, 'granted');
   });
 
-  it('refuses at once a request that every chain turned away, and waits with a begun one', async () => {
+  it('refuses a request at once if every chain rejected it, but queues a begun stream', async () => {
     const site = createDataCentre(3, ['c1']);
     await site.pass(1500);
     const vm = site.vms[0] as Vm;
@@ -50,22 +52,21 @@
     assert.equal(begun[0]?.kind, 'granted');
   });
 
-  it('keeps no slot idle for those at the head of the queue for whom its chain backs off', async () => {
+  it('keeps no slot idle while its chain backs off for the VM of the first queued requests', async () => {
     const site = createDataCentre(4, ['c1', 'c2']);
     await completeAccount(site);
-    const [told, other, filler] = site.vms as [Vm, Vm, Vm];
+    const [backedOffVm, other, filler] = site.vms as [Vm, Vm, Vm];
     for (let index = 0; index < 2 * ADMITTED; index += 1) {
       site.send(filler, `f${index}`, {}, index % 2 === 0 ? 600 : 60_000);
     }
     await site.pass(100);
     assert.equal(site.inFlight('c1') + site.inFlight('c2'), 2 * ADMITTED);
-    // The chain on which slots come free backs off for a VM whose requests are the more urgent
-    // ones.
+    // The chain whose slots are released backs off for a VM whose requests have a higher priority.
     const freeing =
       [...filler.held.entries()].find(([ticket]) => ticket === 'f0')?.[1].headId ?? '';
-    told.backingOff.add(freeing);
+    backedOffVm.backingOff.add(freeing);
     const ahead = Array.from({ length: 6 }, (_, index) =>
-      site.send(told, `ahead${index}`, { priority: 0 }),
+      site.send(backedOffVm, `ahead${index}`, { priority: 0 }),
     );
     const behind = Array.from({ length: 6 }, (_, index) => site.send(other, `behind${index}`));
     await site.pass(900);
@@ -74,7 +75,7 @@
     assert.equal(ahead.flat().filter(({ kind }) => kind === 'granted').length, 0);
   });
 
-  it('gives a slot again at once when its stream ended before anybody listed it', async () => {
+  it('reuses a slot at once if its stream ended before it was ever listed', async () => {
     const site = createDataCentre(2, ['c1']);
     await completeAccount(site);
     const vm = site.vms[0] as Vm;
--- a/packages/entry/__tests__/slotPermits.spec.ts
+++ b/packages/entry/__tests__/slotPermits.spec.ts
@@ -6,7 +6,7 @@
 
 const PER_S = 2;
 
-/** A site with a limit that stands, with no permit left. */
+/** Starts a site with a rate limit in force and no permit left. */
 async function startLimited() {
   const site = createLimitedSite({ vms: 3 });
   await site.pass(1500);
@@ -17,11 +17,11 @@
 }
 
 describe('the permit of a slot', () => {
-  it('is not returned when its request was sent, however soon that ended', async () => {
+  it('is not refunded once its request was sent, however soon that ended', async () => {
     const { site, vm } = await startLimited();
     const fromMs = site.clock.nowMs();
     const granted: string[] = [];
-    // Each is sent, and ends before any list of its VM has named it.
+    // Each request is sent, and ends before its VM has listed its slot.
     while (site.clock.nowMs() < fromMs + 6000) {
       const ticket = `short-${site.clock.nowMs()}`;
       void site.find(vm, ticket).then((outcome) => {
@@ -35,7 +35,7 @@
     assert.ok(granted.length <= PER_S * 6 + 3, `${granted.length} in six seconds`);
   });
 
-  it('goes to the next one when its request was granted elsewhere', async () => {
+  it('is refunded when its request was granted a slot elsewhere', async () => {
     const site = createLimitedSite({ vms: 3 });
     await site.pass(1500);
     await site.callFor(1400, 20);
