--- a/packages/membership/__tests__/backendIdentity.spec.ts
+++ b/packages/membership/__tests__/backendIdentity.spec.ts
@@ -30,8 +30,8 @@
   });
 }
 
-/** What a run says: the layers it holds tell which run it is. */
-function describeRun({ incarnation, state }: Omit<Statement, 'sequence'>): BackendFact {
+/** The announcement of an incarnation; its first layer is the number of the incarnation. */
+function createBackendFact({ incarnation, state }: Omit<Statement, 'sequence'>): BackendFact {
   return {
     kind: 'backend',
     instanceId: formatInstanceId({ serverId: SERVER, incarnation }),
@@ -49,7 +49,7 @@
 }
 
 function announce(table: FactTable<SystemFact>, { incarnation, sequence, state }: Statement) {
-  const fact = describeRun({ incarnation, state });
+  const fact = createBackendFact({ incarnation, state });
   return table.put(FACT_KEYS.backend(fact.instanceId), { incarnation, sequence }, fact);
 }
 
@@ -60,7 +60,7 @@
 }
 
 describe('the identity of a backend server', () => {
-  it('is read back from its instance id', () => {
+  it('is recovered from its instance id', () => {
     fc.assert(
       fc.property(
         fc.stringMatching(/^[\w.-]{1,20}$/),
@@ -73,27 +73,27 @@
     );
   });
 
-  it('is its name alone where it does not say when it started', () => {
+  it('is its name alone when it does not report its start time', () => {
     assert.equal(formatInstanceId({ serverId: SERVER, incarnation: 0 }), SERVER);
   });
 });
 
-describe('a backend server that starts again under its name', () => {
-  it('is heard at once, though its statements are counted anew', () => {
+describe('a backend server that restarts under its name', () => {
+  it('replaces its earlier incarnation immediately, though its sequence starts again at 1', () => {
     const table = createTable('a');
     announce(table, { incarnation: 1, sequence: 900, state: 'ready' });
     assert.equal(announce(table, { incarnation: 2, sequence: 1, state: 'ready' }), true);
     assert.equal(knownIncarnation(table).instanceId, `${SERVER}/2`);
   });
 
-  it('is heard though its earlier incarnation has left for good', () => {
+  it('is accepted though its earlier incarnation was withdrawn', () => {
     const table = createTable('a');
     announce(table, { incarnation: 1, sequence: FINAL_SEQUENCE, state: 'gone' });
     assert.equal(announce(table, { incarnation: 2, sequence: 1, state: 'ready' }), true);
     assert.equal(knownIncarnation(table).state, 'ready');
   });
 
-  it('is not touched by late statements and the late withdrawal of its earlier incarnation', () => {
+  it('is not affected by delayed updates and the delayed withdrawal of its earlier incarnation', () => {
     const table = createTable('a');
     announce(table, { incarnation: 2, sequence: 1, state: 'ready' });
     const { revision } = table;
@@ -106,7 +106,7 @@
     assert.equal(table.revision, revision);
   });
 
-  it('leaves nothing to be found under its earlier incarnation, which counts as over', () => {
+  it('is no longer found under its earlier incarnation, which counts as ended', () => {
     const table = createTable('a');
     announce(table, { incarnation: 1, sequence: 5, state: 'ready' });
     assert.equal(findBackend(table, `${SERVER}/1`)?.body.instanceId, `${SERVER}/1`);
@@ -117,14 +117,14 @@
     assert.equal(hasRestarted(table, `${SERVER}/2`), false);
   });
 
-  it('is told from one that only changed its state', () => {
-    const first = describeRun({ incarnation: 1, state: 'ready' });
-    assert.equal(isRestart(describeRun({ incarnation: 1, state: 'draining' }), first), false);
-    assert.equal(isRestart(describeRun({ incarnation: 2, state: 'ready' }), first), true);
+  it('is distinguished from one that only changed its state', () => {
+    const first = createBackendFact({ incarnation: 1, state: 'ready' });
+    assert.equal(isRestart(createBackendFact({ incarnation: 1, state: 'draining' }), first), false);
+    assert.equal(isRestart(createBackendFact({ incarnation: 2, state: 'ready' }), first), true);
     assert.equal(isRestart(first, undefined), false);
   });
 
-  it('is not given what its earlier incarnation held by an update without a body', () => {
+  it('does not inherit the body of its earlier incarnation from an update without a body', () => {
     const table = createTable('a');
     announce(table, { incarnation: 1, sequence: 5, state: 'ready' });
     const key = FACT_KEYS.backend(SERVER);
@@ -132,13 +132,13 @@
     assert.equal(table.find(key)?.incarnation, 1);
   });
 
-  it('is known alike by all control VMs, in whatever order they hear what', () => {
+  it('converges to the same row on all control VMs, in whatever order updates arrive', () => {
     const statement = fc.record({
       incarnation: fc.integer({ min: 1, max: 3 }),
       sequence: fc.oneof(fc.integer({ min: 1, max: 6 }), fc.constant(FINAL_SEQUENCE)),
       state: fc.constant<BackendFact['state']>('ready'),
     });
-    /** A statement that is heard by a VM, or an exchange from one VM to another. */
+    /** An announcement received by a VM, or an exchange from one VM to another. */
     const step = fc.oneof(
       fc.record({ at: fc.nat(2), statement }),
       fc.record({ from: fc.nat(2), to: fc.nat(2), isWhole: fc.boolean() }),
@@ -163,7 +163,7 @@
           } else if (taken.from !== taken.to) exchange(taken.from, taken.to, taken.isWhole);
           tables.forEach((table) => {
             const row = table.find(FACT_KEYS.backend(SERVER));
-            // A row never has the layers of another run than its own.
+            // A row never has the layers of another incarnation.
             if (row?.body.kind === 'backend') {
               assert.equal(row.body.engine?.held?.firstLayer, row.incarnation);
             }
--- a/packages/membership/__tests__/directory.spec.ts
+++ b/packages/membership/__tests__/directory.spec.ts
@@ -29,7 +29,7 @@
   return { clock, registrar: create('registrar'), entry: create('entry') };
 }
 
-/** Passes on what the registrar knows, asked for now and answered after a while. */
+/** Merges a delta of the registrar into the entry; the reply arrives after `answeredAfterMs`. */
 function pull(
   { clock, registrar, entry }: ReturnType<typeof createFixture>,
   answeredAfterMs = 0,
@@ -41,7 +41,7 @@
 }
 
 describe('directory', () => {
-  it('sends no new work to a backend server that went silent, after its time to live', () => {
+  it('sends no new work to a backend server whose time to live has expired', () => {
     const { clock, registrar } = createFixture();
     registrar.announce(announcement());
     clock.advance(TTL_MS - 1);
@@ -50,23 +50,23 @@
     assert.equal(registrar.findLive('s1'), undefined);
   });
 
-  it('sends no new work to one that is leaving, at once', () => {
+  it('sends no new work to a leaving backend server', () => {
     const { registrar } = createFixture();
     registrar.announce(announcement());
     registrar.announce(announcement({ sequence: 2, state: 'leaving' }));
     assert.equal(registrar.findLive('s1'), undefined);
   });
 
-  it('lets no late answer make a row last longer', () => {
+  it('does not extend the life of a row by a delayed reply', () => {
     const fixture = createFixture();
     fixture.registrar.announce(announcement());
     pull(fixture, 2500);
     assert.ok(fixture.entry.findLive('s1'));
     fixture.clock.advance(500);
-    assert.equal(fixture.entry.findLive('s1'), undefined, 'the time on the way counts');
+    assert.equal(fixture.entry.findLive('s1'), undefined, 'the transfer time counts');
   });
 
-  it('ends a row everywhere within its time to live, however often VMs pass it round', () => {
+  it('expires a row everywhere within its time to live, however often VMs exchange it', () => {
     const fixture = createFixture();
     const { clock, registrar, entry } = fixture;
     registrar.announce(announcement());
@@ -78,7 +78,7 @@
     assert.deepEqual([...registrar.listLive(), ...entry.listLive()], []);
   });
 
-  it('does not go back from leaving to ready for late news of the same incarnation', () => {
+  it('does not return from leaving to ready on a delayed update of the same incarnation', () => {
     const { clock, registrar, entry } = createFixture();
     registrar.announce(announcement());
     const old = registrar.deltaSince('', 0);
@@ -88,7 +88,7 @@
     assert.equal(entry.findLive('s1'), undefined);
   });
 
-  it('takes a backend server back under the same name with a new incarnation', () => {
+  it('accepts a backend server again under the same name with a new incarnation', () => {
     const { registrar } = createFixture();
     registrar.announce(announcement({ sequence: 9, state: 'leaving' }));
     registrar.announce(announcement({ incarnation: 2, sequence: 1 }));
@@ -97,11 +97,11 @@
     assert.equal(
       registrar.findLive('s1')?.announcement.incarnation,
       2,
-      'the old process is not heard',
+      'announcements of the old incarnation are ignored',
     );
   });
 
-  it('lets some rows live longer, also where they were passed on', () => {
+  it('applies a longer time to live to selected rows, also after replication', () => {
     const clock = createManualClock();
     const ttlMsOf = ({ name }: Announcement) => (name === 's1' ? TTL_MS : 3 * TTL_MS);
     const create = (instance: string) =>
@@ -119,7 +119,7 @@
     assert.deepEqual(entry.listLive(), []);
   });
 
-  it('passes on loads without the body that the other VM has', () => {
+  it('sends loads without the body that the other VM already has', () => {
     const { registrar } = createFixture();
     registrar.announce(announcement());
     const { instance, revision } = registrar.deltaSince('', 0);
@@ -129,7 +129,7 @@
     assert.deepEqual(update?.load, { running: 5, queued: 1 });
   });
 
-  it('passes everything on again to a VM that knew another run of it', () => {
+  it('sends all rows to a VM that has the state of an earlier incarnation', () => {
     const { registrar } = createFixture();
     registrar.announce(announcement());
     assert.equal(registrar.deltaSince('an earlier run', 99).updates.length, 1);
@@ -137,7 +137,7 @@
 });
 
 describe('announcement', () => {
-  it('is refused with every finding', () => {
+  it('is rejected with every finding', () => {
     const wrong = { ...announcement(), name: '@vm1', port: 0, extra: true };
     assert.throws(
       () => parseAnnouncement(wrong),
@@ -145,7 +145,7 @@
     );
   });
 
-  it('is refused or taken, never half taken, whatever it is', () => {
+  it('is rejected with a well-defined error for arbitrary JSON', () => {
     fc.assert(
       fc.property(fc.jsonValue(), (value) => {
         assert.throws(() => parseAnnouncement(value), { code: 'bad-request', outcome: 'not-run' });
--- a/packages/membership/__tests__/exchangeSchedules.spec.ts
+++ b/packages/membership/__tests__/exchangeSchedules.spec.ts
@@ -1,7 +1,8 @@
 /**
- * Schedules of the exchange of facts, drawn from seeds, in time that passes by events: three VMs
- * that follow each other and others that follow one of them, restarts, cuts and delays. A fact is
- * stated once; everybody in touch holds it within three seconds, whoever forgot it by a restart.
+ * Random schedules of fact exchanges in simulated time, generated from seeds: three relays that
+ * follow each other and followers that follow one relay, with restarts, partitions and delays.
+ * Each fact is published once. Every connected VM must hold it within three seconds, even if VMs
+ * lost it by a restart.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -15,24 +16,24 @@
 const FOLLOWERS = ['f0', 'f1', 'f2', 'f3'] as const;
 const STEP_MS = 100;
 const STEPS = 60;
-const KNOWN_WITHIN_MS = 3000;
+const CONVERGENCE_LIMIT_MS = 3000;
 const FACTS = 6;
-/** Chances in a hundred, a step. */
-const RESTARTS = 4;
-const CUTS = 6;
-const CUT_MOST_STEPS = 15;
-const DELAYS = 20;
+/** Probabilities per step, in percent. */
+const RESTART_PERCENT = 4;
+const CUT_PERCENT = 6;
+const MAX_CUT_STEPS = 15;
+const DELAY_PERCENT = 20;
 
 interface Vm {
   readonly name: string;
   table: FactTable<string>;
   runs: number;
-  /** Revision that it has of each source's run. */
+  /** Instance and revision of each source's table that the VM has received. */
   readonly known: Map<string, { run: string; revision: number }>;
   followed: string;
 }
 
-function createWorld(random: Random) {
+function createSimulation(random: Random) {
   const clock = createManualClock(100_000);
   const cutUntil = new Map<string, number>();
   const vms = new Map<string, Vm>();
@@ -55,15 +56,15 @@
     vm.known.clear();
   }
 
-  /** Runs that a relay hears from themselves, its own among them. */
+  /** Table instances that a relay receives directly, including its own. */
   function listOrigins(vm: Vm, source: string): readonly string[] {
     const heard = [...vm.known].filter(([other]) => other !== source && !isCut(vm.name, other));
     return [vm.table.instance, ...heard.map(([, { run }]) => run)];
   }
 
-  function ask(vm: Vm, source: string, isPassingOn: boolean): void {
+  function pull(vm: Vm, source: string, isPassingOn: boolean): void {
     if (isCut(vm.name, source)) {
-      // What was left out for those heard directly is asked for again.
+      // Other sources omitted facts that this one delivered directly; they are requested again.
       if (vm.known.delete(source)) vm.known.forEach((row) => Object.assign(row, { revision: -1 }));
       return;
     }
@@ -81,8 +82,8 @@
   function exchange(): void {
     RELAYS.forEach((name) =>
       RELAYS.filter((other) => other !== name)
-        .filter(() => random.nextInt(100) >= DELAYS)
-        .forEach((other) => ask(find(name), other, true)),
+        .filter(() => random.nextInt(100) >= DELAY_PERCENT)
+        .forEach((other) => pull(find(name), other, true)),
     );
     FOLLOWERS.forEach((name) => {
       const vm = find(name);
@@ -90,58 +91,58 @@
         vm.followed = RELAYS[random.nextInt(RELAYS.length)] ?? 'r0';
         vm.known.clear();
       }
-      if (random.nextInt(100) >= DELAYS) ask(vm, vm.followed, false);
+      if (random.nextInt(100) >= DELAY_PERCENT) pull(vm, vm.followed, false);
     });
   }
 
   return { clock, vms, find, restart, exchange, isCut, cutUntil, linkOf };
 }
 
-/** Plays one schedule; returns what somebody in touch lacks. */
-function play(seed: number): readonly string[] {
+/** Runs one schedule; returns the facts that connected VMs lack. */
+function runSchedule(seed: number): readonly string[] {
   const random = createSeededRandom(seed);
-  const world = createWorld(random);
-  const { clock, find, restart, exchange, cutUntil, linkOf } = world;
+  const simulation = createSimulation(random);
+  const { clock, find, restart, exchange, cutUntil, linkOf } = simulation;
   const stated: { readonly key: string; atMs: number }[] = [];
-  let disturbedAtMs = clock.nowMs();
+  let lastFaultAtMs = clock.nowMs();
 
   for (let step = 0; step < STEPS; step += 1) {
     const relay = RELAYS[random.nextInt(RELAYS.length)] ?? 'r0';
-    const isCalm = clock.nowMs() - disturbedAtMs > KNOWN_WITHIN_MS / 3;
-    if (stated.length < FACTS && isCalm && random.nextInt(4) === 0) {
+    const isStable = clock.nowMs() - lastFaultAtMs > CONVERGENCE_LIMIT_MS / 3;
+    if (stated.length < FACTS && isStable && random.nextInt(4) === 0) {
       const key = `fact ${stated.length}`;
       find(relay).table.put(key, 1, key);
       stated.push({ key, atMs: clock.nowMs() });
-      // It is known to one more VM at least before anything is struck.
+      // At least one more VM receives the fact before the next fault.
       exchange();
       exchange();
-    } else if (random.nextInt(100) < RESTARTS) {
+    } else if (random.nextInt(100) < RESTART_PERCENT) {
       restart(random.nextInt(2) === 0 ? relay : (FOLLOWERS[random.nextInt(4)] ?? 'f0'));
-      disturbedAtMs = clock.nowMs();
-    } else if (random.nextInt(100) < CUTS) {
+      lastFaultAtMs = clock.nowMs();
+    } else if (random.nextInt(100) < CUT_PERCENT) {
       const other = RELAYS[random.nextInt(RELAYS.length)] ?? 'r1';
-      const steps = 1 + random.nextInt(CUT_MOST_STEPS);
+      const steps = 1 + random.nextInt(MAX_CUT_STEPS);
       if (other !== relay) cutUntil.set(linkOf(relay, other), clock.nowMs() + steps * STEP_MS);
     }
     clock.advance(STEP_MS);
     exchange();
   }
   cutUntil.clear();
-  for (let passedMs = 0; passedMs < KNOWN_WITHIN_MS; passedMs += STEP_MS) {
+  for (let passedMs = 0; passedMs < CONVERGENCE_LIMIT_MS; passedMs += STEP_MS) {
     clock.advance(STEP_MS);
     exchange();
   }
   return stated.flatMap(({ key }) => {
-    const holders = [...world.vms.values()].filter(({ table }) => table.find(key));
-    const lacking = [...world.vms.values()].filter(({ table }) => !table.find(key));
-    // One that every relay forgot within the same moment is lost with them.
+    const holders = [...simulation.vms.values()].filter(({ table }) => table.find(key));
+    const lacking = [...simulation.vms.values()].filter(({ table }) => !table.find(key));
+    // A fact that all relays lost at the same time cannot be recovered.
     const isLost = !holders.some(({ name }) => name.startsWith('r'));
     return isLost ? [] : lacking.map(({ name }) => `${name} lacks ${key} (seed ${seed})`);
   });
 }
 
-describe('schedules of the exchange of facts', () => {
-  it(`${SCHEDULES} of them leave nobody in touch without a fact that was stated once`, () => {
-    for (let seed = 1; seed <= SCHEDULES; seed += 1) assert.deepEqual(play(seed), []);
+describe('random schedules of fact exchanges', () => {
+  it(`deliver each published fact to every connected VM in ${SCHEDULES} schedules`, () => {
+    for (let seed = 1; seed <= SCHEDULES; seed += 1) assert.deepEqual(runSchedule(seed), []);
   });
 });
--- a/packages/membership/__tests__/facts.spec.ts
+++ b/packages/membership/__tests__/facts.spec.ts
@@ -25,7 +25,7 @@
 }
 
 describe('a table of facts', () => {
-  it('keeps the latest statement, whatever the order in which statements come', () => {
+  it('keeps the latest version, in whatever order updates arrive', () => {
     const clock = createManualClock();
     const table = createTable(clock, 'a');
     assert.equal(table.put('k', 2, { text: 'second' }), true);
@@ -33,7 +33,7 @@
     assert.equal(table.find('k')?.body.text, 'second');
   });
 
-  it('converges by exchange in any order, and passes nothing on for ever', () => {
+  it('converges by exchanges in any order, after which nothing is sent again', () => {
     const clock = createManualClock();
     const [a, b, c] = ['a', 'b', 'c'].map((name) => createTable(clock, name));
     assert.ok(a && b && c);
@@ -49,7 +49,7 @@
     assert.equal(a.revision, revision);
   });
 
-  it('passes bodies on only to those that lack them, and ages always', () => {
+  it('sends bodies only to VMs that lack them, and ages with every update', () => {
     const clock = createManualClock();
     const table = createTable(clock, 'a');
     table.put('k', 1, { text: 'same' });
@@ -63,7 +63,7 @@
     assert.deepEqual(whole?.body, { text: 'same' });
   });
 
-  it('leaves out the facts of those whom the asking VM hears itself', () => {
+  it('omits the facts of origins that the requester receives directly', () => {
     const clock = createManualClock();
     const [a, b, c] = ['a', 'b', 'c'].map((name) => createTable(clock, name));
     assert.ok(a && b && c);
@@ -82,26 +82,26 @@
     assert.equal(c.find('of b')?.origin, 'b');
   });
 
-  it('passes a body on again when its origin changes, as it was left out until then', () => {
+  it('sends a body again when its origin changes, as it was omitted until then', () => {
     const clock = createManualClock();
     const [b, c] = ['b', 'c'].map((name) => createTable(clock, name));
     assert.ok(b && c);
     c.put('worker', 1, { text: 'draining' });
     b.merge(c.deltaSince('', 0).updates, 0, 'c');
-    // A third VM that hears c itself has the state of b up to here, without this body.
+    // A third VM that receives c directly has the state of b up to here, without this body.
     const { revision } = b;
     b.put('worker', 2, { text: 'draining' });
     const [update] = b.deltaSince('b', revision, ['c']).updates;
     assert.deepEqual(update?.body, { text: 'draining' });
   });
 
-  it('does not follow a fact that it knows only by name', () => {
+  it('ignores an update without a body for an unknown key', () => {
     const table = createTable(createManualClock(), 'a');
     table.merge([{ key: 'k', sequence: 1, ageMs: 0 }], 0);
     assert.equal(table.find('k'), undefined);
   });
 
-  it('forgets what nobody has stated for long', () => {
+  it('removes facts that were not renewed within the retention time', () => {
     const clock = createManualClock();
     const table = createTable(clock, 'a');
     table.put('old', 1, { text: '' });
@@ -116,7 +116,7 @@
 });
 
 describe('a document cache', () => {
-  it('never goes back to a lower version', () => {
+  it('never returns to a lower version', () => {
     const cache = createDocumentCache<Document>(createManualClock());
     assert.equal(cache.offer({ version: 5 }), true);
     assert.equal(cache.offer({ version: 4 }), false);
@@ -155,7 +155,7 @@
     return { table, documents, server, timers };
   }
 
-  it('counts a confirmation from when the question was sent, not from when the answer came', async () => {
+  it('dates a confirmation by when the request was sent, not by when the reply arrived', async () => {
     const clock = createManualClock(10_000);
     const source = createSource(clock, () => true);
     source.documents.offer({ version: 3 });
@@ -168,7 +168,7 @@
       statements: () => [{ key: 'client', sequence: 1, ageMs: 0, body: { text: 'here' } }],
       async exchange(request) {
         const reply = await source.server.answer(request);
-        // The answer is a second on its way.
+        // The reply takes one second to arrive.
         clock.advance(1000);
         return reply;
       },
@@ -182,7 +182,7 @@
     assert.equal(source.table.find('client')?.body.text, 'here');
   });
 
-  it('asks for everything again once it is restarted, also while an exchange is under way', async () => {
+  it('requests all facts again after a restart, also during an exchange', async () => {
     const clock = createManualClock(10_000);
     const instances: string[] = [];
     const client = createFeedClient<Body, Document>({
@@ -205,51 +205,51 @@
     assert.deepEqual(instances, ['', 'source', '', 'source']);
   });
 
-  it('passes no confirmation on that its source has lost', async () => {
+  it('does not renew a confirmation that its source has lost', async () => {
     const clock = createManualClock(10_000);
     let isConfirmed = true;
     const source = createSource(clock, () => isConfirmed);
     source.documents.offer({ version: 3 });
-    const question = {
+    const request = {
       updates: [],
       instance: '',
       revision: 0,
       documentVersion: -1,
       waitMs: 0,
     };
-    assert.equal((await source.server.answer(question)).confirmedAgeMs, 0);
+    assert.equal((await source.server.answer(request)).confirmedAgeMs, 0);
     isConfirmed = false;
     clock.advance(3000);
-    assert.equal((await source.server.answer(question)).confirmedAgeMs, 3000);
+    assert.equal((await source.server.answer(request)).confirmedAgeMs, 3000);
   });
 
-  it('answers at once when something urgent is new, and holds back otherwise', async () => {
+  it('answers immediately on an urgent change, and holds the request otherwise', async () => {
     const clock = createManualClock(10_000);
     const source = createSource(clock, () => false);
-    const question = {
+    const request = {
       updates: [],
       instance: 'source',
       revision: source.table.revision,
       documentVersion: -1,
       waitMs: 1000,
     };
-    const waiting = source.server.answer(question);
+    const waiting = source.server.answer(request);
     assert.equal(source.timers.length, 1);
     source.table.put('k', 1, { text: 'urgent' });
     source.server.wake();
     assert.equal((await waiting).delta.updates.length, 1);
-    const known = { ...question, revision: source.table.revision };
+    const known = { ...request, revision: source.table.revision };
     const held = source.server.answer(known);
     assert.equal(source.timers.length, 2);
     source.timers[1]?.();
     assert.equal((await held).delta.updates.length, 0);
   });
 
-  it('holds an answer back while all that is new is heard from others', async () => {
+  it('holds a request while all changes come from origins that it excludes', async () => {
     const clock = createManualClock(10_000);
     const source = createSource(clock, () => false);
     source.table.put('k', 1, { text: 'known' });
-    const question = {
+    const request = {
       updates: [],
       instance: 'source',
       revision: source.table.revision,
@@ -258,7 +258,7 @@
       waitMs: 1000,
     };
     let isAnswered = false;
-    const waiting = source.server.answer(question).then((reply) => {
+    const waiting = source.server.answer(request).then((reply) => {
       isAnswered = true;
       return reply;
     });
@@ -275,7 +275,7 @@
     );
   });
 
-  it('answers once for a crowd of changes, the first of which it tells at once', async () => {
+  it('answers the first change of a burst immediately and batches the others', async () => {
     const clock = createManualClock(10_000);
     const source = createSource(clock, () => false);
     const ask = () =>
@@ -296,7 +296,7 @@
       source.server.wake();
     }
     clock.advance(50);
-    // The time-outs of two answers, and one look for the crowd.
+    // The timeouts of two requests, and one flush for the burst.
     assert.equal(source.timers.length, 3);
     source.timers[2]?.();
     assert.equal((await second).delta.updates.length, 50);
--- a/packages/membership/__tests__/siblingBackoffs.spec.ts
+++ b/packages/membership/__tests__/siblingBackoffs.spec.ts
@@ -5,35 +5,35 @@
 import { createFactTable, createSiblingBackoffs, FACT_KEYS } from '..';
 import type { MemberFact, BackoffDirective, SiblingTarget, SystemFact } from '..';
 
-const WORD: BackoffDirective = { instanceId: 'e1', backoffMs: 3000 };
+const DIRECTIVE: BackoffDirective = { instanceId: 'e1', backoffMs: 3000 };
 
 function createMember(host: string, role: MemberFact['role'], peerPort: number): MemberFact {
   return { kind: 'member', vmId: host, dataCentre: 'a', host, role, peerPort, state: 'ready' };
 }
 
-function createSetting({ isThere = true }: { readonly isThere?: boolean } = {}) {
+function createFixture({ isThere: isReachable = true }: { readonly isThere?: boolean } = {}) {
   const clock = createManualClock();
   const table = createFactTable<SystemFact>({ clock, instance: 'run', isUrgent: () => false });
   const calls: { readonly port: number; readonly method: string; readonly params: JsonValue }[] =
     [];
-  const words: BackoffDirective[] = [];
-  const untold: BackoffDirective[] = [];
+  const received: BackoffDirective[] = [];
+  const undelivered: BackoffDirective[] = [];
   const backoffs = createSiblingBackoffs({
     table,
     host: 'vm1',
     role: 'entry',
     call({ port }: SiblingTarget, method, params) {
       calls.push({ port, method, params });
-      return isThere ? Promise.resolve(true) : Promise.reject(new Error('nobody listens'));
+      return isReachable ? Promise.resolve(true) : Promise.reject(new Error('nobody listens'));
     },
-    onUndelivered: (_problem, directive) => untold.push(directive),
+    onUndelivered: (_problem, directive) => undelivered.push(directive),
   });
-  backoffs.onDirective((directive) => words.push(directive));
+  backoffs.onDirective((directive) => received.push(directive));
   return {
     backoffs,
     calls,
-    words,
-    untold,
+    words: received,
+    untold: undelivered,
     join(member: MemberFact, run = 'run'): void {
       clock.advance(1);
       table.put(FACT_KEYS.member(member.host, run), 1, member);
@@ -41,44 +41,44 @@
   };
 }
 
-describe('a backoff that one process of a VM was asked for', () => {
-  it('is sent to the other process of that VM, to its latest incarnation, and to nobody else', () => {
-    const { backoffs, calls, join } = createSetting();
+describe('a backoff that a server requests from one process of a VM', () => {
+  it('is forwarded only to the latest incarnation of the other process of that VM', () => {
+    const { backoffs, calls, join } = createFixture();
     join(createMember('vm1', 'entry', 1), 'self');
     join(createMember('vm1', 'control', 2), 'earlier');
     join(createMember('vm1', 'control', 3), 'later');
     join(createMember('vm2', 'control', 4));
-    backoffs.send(WORD);
+    backoffs.send(DIRECTIVE);
     assert.deepEqual(
       calls.map(({ port, params }) => ({ port, params })),
-      [{ port: 3, params: WORD }],
+      [{ port: 3, params: DIRECTIVE }],
     );
   });
 
-  it('is told to nobody where the VM has no other process', () => {
-    const { backoffs, calls, join } = createSetting();
+  it('is not forwarded when the VM has no other process', () => {
+    const { backoffs, calls, join } = createFixture();
     join(createMember('vm1', 'entry', 1));
     join(createMember('vm2', 'control', 4));
-    backoffs.send(WORD);
+    backoffs.send(DIRECTIVE);
     assert.deepEqual(calls, []);
   });
 
-  it('is taken in by the process that is told, under the method that is called', () => {
-    const { backoffs, calls, words, join } = createSetting();
+  it('is applied by the other process through the method that is called', () => {
+    const { backoffs, calls, words, join } = createFixture();
     join(createMember('vm1', 'control', 2));
-    backoffs.send(WORD);
+    backoffs.send(DIRECTIVE);
     const [call] = calls;
     backoffs.methods[call?.method ?? '']?.(call?.params ?? null);
-    assert.deepEqual(words, [WORD]);
+    assert.deepEqual(words, [DIRECTIVE]);
   });
 
-  it('ends nothing when the other process does not answer', async () => {
-    const { backoffs, untold, join } = createSetting({ isThere: false });
+  it('is reported as undelivered when the other process does not answer', async () => {
+    const { backoffs, untold, join } = createFixture({ isThere: false });
     join(createMember('vm1', 'control', 2));
-    backoffs.send(WORD);
+    backoffs.send(DIRECTIVE);
     await new Promise((resolve) => {
       setImmediate(resolve);
     });
-    assert.deepEqual(untold, [WORD]);
+    assert.deepEqual(untold, [DIRECTIVE]);
   });
 });
--- a/packages/membership/examples/leaving.ts
+++ b/packages/membership/examples/leaving.ts
@@ -1,4 +1,4 @@
-/** A backend server announces itself, is passed on to another VM, leaves, and is gone on both. */
+/** A backend server announces itself, is replicated to another VM, and leaves on both. */
 import { createManualClock } from '@spoolplank/shared';
 import { createDirectory } from '@spoolplank/membership';
 import type { Announcement } from '@spoolplank/membership';
--- a/packages/membership/src/announcement.ts
+++ b/packages/membership/src/announcement.ts
@@ -2,49 +2,49 @@
 import type { ValidateFunction } from 'ajv';
 import { SpoolplankError } from '@spoolplank/shared';
 
-/** A connection to another engine, as measured by the engine that announces it. */
+/** A network link to another engine, as measured by the announcing engine. */
 export interface EngineLink {
   readonly to: string;
   readonly delayMs: number;
   readonly bytesPerS: number;
 }
 
-/** What a model engine can do. */
+/** Model, layers and performance figures of a model engine. */
 export interface EngineDescription {
   readonly model: string;
   readonly version: string;
   readonly adapters: readonly string[];
   readonly acceleratorKind: string;
-  /** First and last layer held, both included. */
+  /** First and last loaded layer, both inclusive. */
   readonly firstLayer: number;
   readonly lastLayer: number;
   readonly maxBatch: number;
-  /** Time of one step with one item, and what each further item adds. */
+  /** Duration of one step with one item, and the additional time per further item. */
   readonly stepBaseMs: number;
   readonly stepPerItemMs: number;
-  /** Whether the engine refuses an order that carries an old fencing number. */
+  /** Whether the engine rejects orders with an outdated fencing number. */
   readonly isFencingChecked: boolean;
   readonly links: readonly EngineLink[];
 }
 
-/** Load as the backend server last measured it. */
+/** Load as last measured by the backend server. */
 export interface ReportedLoad {
   readonly running: number;
   readonly queued: number;
 }
 
-/** How a backend server announces itself. */
+/** Announcement that a backend server sends periodically. */
 export interface Announcement {
   readonly name: string;
   readonly dataCentre: string;
   readonly host: string;
   readonly port: number;
-  /** Rises with every start of the backend server. */
+  /** Increases with each start of the backend server. */
   readonly incarnation: number;
-  /** Rises with every announcement of one incarnation. */
+  /** Increases with each announcement within one incarnation. */
   readonly sequence: number;
   readonly state: 'ready' | 'leaving';
-  /** Names of the plain services that are served. */
+  /** Names of the plain services that the server provides. */
   readonly services: readonly string[];
   readonly engine?: EngineDescription;
   readonly load: ReportedLoad;
@@ -132,7 +132,7 @@
 let validate: ValidateFunction | undefined;
 
 /**
- * Checks an announcement from the wire.
+ * Validates an announcement received over the network.
  *
  * @throws SpoolplankError `bad-request` with every finding.
  */
@@ -165,7 +165,7 @@
   return announcement;
 }
 
-/** Whether `a` was said after `b` by the same backend server. */
+/** Whether `a` is a later announcement of the same backend server than `b`. */
 export function isNewer(a: Announcement, b: Announcement): boolean {
   if (a.incarnation !== b.incarnation) return a.incarnation > b.incarnation;
   return a.sequence > b.sequence;
--- a/packages/membership/src/backendIdentity.ts
+++ b/packages/membership/src/backendIdentity.ts
@@ -1,29 +1,29 @@
 /**
- * Identity of an incarnation of a backend server. A server that starts again under its name has
- * lost all its state, so whatever is kept about it (layers, speed, load, streams) is kept by
+ * Identity of an incarnation of a backend server. A server that restarts under the same name has
+ * lost all its state, so everything stored about it (layers, speed, load, streams) is keyed by
  * instance id.
  */
 
 /** One incarnation of a backend server. */
 export interface BackendIdentity {
-  /** The name that it keeps over its restarts. */
+  /** Name that stays the same across restarts. */
   readonly serverId: string;
   /**
-   * Unix time of its start in milliseconds, which orders incarnations; 0
-   * where it does not say, and each run has a name of its own.
+   * Unix time of the start in milliseconds, which orders incarnations; 0 when the server does not
+   * report it, in which case each incarnation has a name of its own.
    */
   readonly incarnation: number;
 }
 
-/** Stands in no name, as names are segments of a path. */
+/** Cannot occur in a name, as names are path segments. */
 const SEPARATOR = '/';
 
-/** The instance id of a run: its key wherever something is kept about it. */
+/** Formats the instance id of an incarnation, by which everything about it is keyed. */
 export function formatInstanceId({ serverId, incarnation }: BackendIdentity): string {
   return incarnation === 0 ? serverId : `${serverId}${SEPARATOR}${incarnation}`;
 }
 
-/** The run that an instance id stands for. */
+/** Parses an instance id. */
 export function parseInstanceId(instanceId: string): BackendIdentity {
   const at = instanceId.lastIndexOf(SEPARATOR);
   if (at < 0) return { serverId: instanceId, incarnation: 0 };
--- a/packages/membership/src/directory.ts
+++ b/packages/membership/src/directory.ts
@@ -2,18 +2,18 @@
 import { isNewer } from './announcement';
 import type { Announcement, ReportedLoad } from './announcement';
 
-/** A backend server as this VM knows it. */
+/** A backend server in the directory of this VM. */
 export interface DirectoryRow {
   readonly announcement: Announcement;
-  /** On this VM's clock: after this it counts as gone unless it is renewed. */
+  /** Time on this VM's clock at which the row expires unless it is renewed. */
   readonly deadlineMs: number;
-  /** Of this directory: rises with every change of any row. */
+  /** Revision of this directory at which the row last changed. */
   readonly revision: number;
-  /** Revision of the last change beyond load and deadline. */
+  /** Revision of the last change of anything but load and deadline. */
   readonly bodyRevision: number;
 }
 
-/** A row on its way to another VM; without a body when that VM has it already. */
+/** A row as it is sent to another VM; the body is omitted when that VM already has it. */
 export interface DirectoryUpdate {
   readonly name: string;
   readonly incarnation: number;
@@ -24,7 +24,7 @@
 }
 
 export interface DirectoryDelta {
-  /** Distinguishes one incarnation of a registrar from the next, whose revisions start anew. */
+  /** Identifies one incarnation of a registrar; revisions restart with each incarnation. */
   readonly instance: string;
   readonly revision: number;
   readonly updates: readonly DirectoryUpdate[];
@@ -37,34 +37,34 @@
   readonly ttlMs: number;
   /** Time to live of a row, where it differs from `ttlMs`. */
   readonly ttlMsOf?: (announcement: Announcement) => number;
-  /** Called with rows that appeared, changed beyond their load, or went. */
+  /** Called with the name of a row that was added or changed in anything but load and sequence. */
   readonly onChange?: (name: string) => void;
 }
 
 export interface Directory {
   readonly revision: number;
-  /** Revision of the last change beyond loads and deadlines, which is worth passing on at once. */
+  /** Revision of the last change of anything but loads and deadlines; propagated immediately. */
   readonly bodyRevision: number;
-  /** Takes in what a backend server said to this VM. */
+  /** Stores an announcement that a backend server sent to this VM. */
   announce(announcement: Announcement): void;
-  /** What another VM must learn: the rows that changed after `sinceRevision`. */
+  /** The rows that changed after `sinceRevision`, for another VM. */
   deltaSince(instance: string, sinceRevision: number): DirectoryDelta;
   /**
-   * Takes in what another VM passed on. Deadlines count from `saidAtMs`, the earliest time at
-   * which it can have been said, so that an answer that was long on its way cannot make a row
-   * last longer. However many VMs pass
-   * a row on, it ends no later than where it was announced.
+   * Merges the delta of another VM. Deadlines are computed from `asOfMs`, the earliest time at
+   * which the delta can have been created, so a delayed response cannot extend the life of a row.
+   * A row expires no later than on the VM that received the announcement, regardless of how many
+   * VMs forward it.
    */
-  merge(delta: DirectoryDelta, saidAtMs: number): void;
-  /** A row that new work may go to; undefined when it is leaving, expired, or not known. */
+  merge(delta: DirectoryDelta, asOfMs: number): void;
+  /** A row that accepts new work; undefined when it is leaving, expired or unknown. */
   findLive(name: string): DirectoryRow | undefined;
   listLive(): readonly DirectoryRow[];
   listAll(): readonly DirectoryRow[];
-  /** Forgets rows that ended long ago. */
+  /** Removes rows that expired long ago. */
   sweep(): void;
 }
 
-/** How long an ended row is remembered, so that late news of it does not bring it back. */
+/** How long an expired row is retained, so that a delayed update cannot revive it. */
 const TOMBSTONE_MS = 60_000;
 const NO_BODY_CHANGE: ReadonlySet<string> = new Set(['sequence', 'load']);
 
@@ -76,7 +76,7 @@
   return strip(a) === strip(b);
 }
 
-/** The table of backend servers on one VM. */
+/** Creates the directory of backend servers of one VM. */
 export function createDirectory(options: DirectoryOptions): Directory {
   const { clock, instance, ttlMs, onChange } = options;
   const ttlMsOf = options.ttlMsOf ?? (() => ttlMs);
@@ -104,17 +104,17 @@
     return announcement.state === 'ready' && clock.nowMs() < deadlineMs;
   }
 
-  function mergeUpdate(update: DirectoryUpdate, saidAtMs: number): void {
+  function mergeUpdate(update: DirectoryUpdate, asOfMs: number): void {
     const known = rows.get(update.name);
-    const isOfKnown = known?.announcement.incarnation === update.incarnation;
-    const base = update.body ?? (isOfKnown ? known?.announcement : undefined);
+    const isSameIncarnation = known?.announcement.incarnation === update.incarnation;
+    const base = update.body ?? (isSameIncarnation ? known?.announcement : undefined);
     if (!base) return;
-    const deadlineMs = saidAtMs + Math.min(update.remainingMs, ttlMsOf(base));
+    const deadlineMs = asOfMs + Math.min(update.remainingMs, ttlMsOf(base));
     const announcement: Announcement = { ...base, sequence: update.sequence, load: update.load };
     if (!known || isNewer(announcement, known.announcement)) {
       put(announcement, deadlineMs);
     } else if (
-      isOfKnown &&
+      isSameIncarnation &&
       update.sequence === known.announcement.sequence &&
       deadlineMs > known.deadlineMs
     ) {
@@ -134,8 +134,8 @@
       if (known && !isNewer(announcement, known.announcement)) return;
       put(announcement, clock.nowMs() + ttlMsOf(announcement));
     },
-    deltaSince(askedInstance, sinceRevision) {
-      const since = askedInstance === instance ? sinceRevision : 0;
+    deltaSince(requestedInstance, sinceRevision) {
+      const since = requestedInstance === instance ? sinceRevision : 0;
       const nowMs = clock.nowMs();
       const updates = [...rows.values()]
         .filter((row) => row.revision > since)
@@ -149,8 +149,8 @@
         }));
       return { instance, revision, updates };
     },
-    merge(delta, saidAtMs) {
-      delta.updates.forEach((update) => mergeUpdate(update, saidAtMs));
+    merge(delta, asOfMs) {
+      delta.updates.forEach((update) => mergeUpdate(update, asOfMs));
     },
     findLive(name) {
       const row = rows.get(name);
--- a/packages/membership/src/documentCache.ts
+++ b/packages/membership/src/documentCache.ts
@@ -1,13 +1,13 @@
 import type { Clock } from '@spoolplank/shared';
 
-/** The newest document that a process knows, and since when that is certain. */
+/** The newest document known to a process, and the time at which it was last confirmed current. */
 export interface DocumentCache<Document extends { readonly version: number }> {
   readonly current: Document | null;
-  /** Time since it was last certain that nothing newer was in force; infinite when never. */
+  /** Time since the document was last confirmed current; infinite when it never was. */
   confirmedAgeMs(): number;
-  /** Takes in a document; an older one is ignored. Returns whether it is new. */
+  /** Stores a document if it is newer than the current one; returns whether it was. */
   offer(document: Document): boolean;
-  /** Records that at `atMs`, on this VM's clock, nothing newer than `version` was in force. */
+  /** Records that no version newer than `version` was in force at `atMs` on this VM's clock. */
   confirm(version: number, atMs: number): void;
 }
 
--- a/packages/membership/src/factTable.ts
+++ b/packages/membership/src/factTable.ts
@@ -1,46 +1,43 @@
 import type { Clock } from '@spoolplank/shared';
 
-/** Orders the statements about one key. */
+/** Orders the updates of one key. */
 export interface FactVersion {
   /**
-   * Rises with every incarnation of whoever states the fact; 0 where it has one incarnation a key.
+   * Increases with each start of the publisher; 0 where each incarnation has a key of its own.
    */
   readonly incarnation: number;
-  /** Rises with every statement of one run. */
+  /** Increases with each update within one incarnation. */
   readonly sequence: number;
 }
 
-/** Something that one party states about itself, and everyone passes on. */
+/** A record that one process publishes about itself and that all VMs replicate by gossip. */
 export interface Fact<Body> extends FactVersion {
   readonly key: string;
   readonly body: Body;
-  /** When it was stated, on this VM's monotonic clock. */
+  /** Time of publication, on this VM's monotonic clock. */
   readonly receivedAtMs: number;
-  /** Of this table: rises with every change of any row. */
+  /** Revision of this table at which the row last changed. */
   readonly revision: number;
-  /** Revision of the last change of the body, or of its origin. */
+  /** Revision at which the body or the origin last changed. */
   readonly bodyRevision: number;
-  /**
-   * The incarnation of the VM that heard it first-hand, by its table's instance; empty for this
-   * one.
-   */
+  /** Table instance of the VM that received the fact from its publisher; empty for this VM. */
   readonly origin: string;
 }
 
-/** A fact on its way to another VM; without a body when that VM has it already. */
+/** A fact as it is sent to another VM; the body is omitted when that VM already has it. */
 export interface FactUpdate<Body> {
   readonly key: string;
-  /** Left out where it is 0. */
+  /** Omitted when 0. */
   readonly incarnation?: number;
   readonly sequence: number;
   readonly ageMs: number;
   readonly body?: Body;
-  /** The incarnation of the VM that heard it first-hand; left out by that one itself. */
+  /** Table instance of the VM that received the fact from its publisher; omitted by that VM. */
   readonly origin?: string;
 }
 
 export interface FactDelta<Body> {
-  /** Distinguishes one incarnation of a table from the next, whose revisions start anew. */
+  /** Identifies one incarnation of a table; revisions restart with each incarnation. */
   readonly instance: string;
   readonly revision: number;
   readonly updates: readonly FactUpdate<Body>[];
@@ -51,42 +48,45 @@
   /** Unique to this incarnation of the process. */
   readonly instance: string;
   /**
-   * Whether a changed body is worth passing on at once, rather than with the next exchange; with
-   * what it replaces, where that is still known.
+   * Whether a changed body is propagated immediately rather than with the next periodic exchange.
+   * `before` is the replaced body, if known.
    */
   readonly isUrgent: (body: Body, before?: Body) => boolean;
-  /** Called after an urgent change, with the body that is known now. */
+  /** Called after an urgent change with the new body. */
   readonly onUrgent?: (body: Body) => void;
 }
 
-/** Facts that converge on every VM by exchange of what is newer. */
+/** Replicated table whose rows converge on all VMs by exchanging deltas. */
 export interface FactTable<Body> {
   readonly instance: string;
   readonly revision: number;
   readonly bodyRevision: number;
-  /** States a fact; false when one with this version or a later one is known. */
+  /** Stores a local fact; false when this version or a later one is already stored. */
   put(key: string, version: number | FactVersion, body: Body): boolean;
   find(key: string): Fact<Body> | undefined;
   list(): readonly Fact<Body>[];
   /**
-   * What another VM lacks that has this table's state of `sinceRevision`, without the facts of
-   * origins that it receives from themselves.
+   * Rows that changed after `sinceRevision`; all rows when `instance` is not this table's instance.
+   * Rows whose origin is in `exceptOrigins` are omitted, as the requester receives them directly.
    */
   deltaSince(
     instance: string,
     sinceRevision: number,
     exceptOrigins?: readonly string[],
   ): FactDelta<Body>;
-  /** Whether that delta has a changed body which is worth passing on at once. */
+  /** Whether that delta contains an urgent change of a body. */
   hasUrgentSince(sinceRevision: number, exceptOrigins?: readonly string[]): boolean;
-  /** Takes in what another VM knew at `saidAtMs` on this VM's clock; `from` unless first-hand. */
-  merge(updates: readonly FactUpdate<Body>[], saidAtMs: number, from?: string): void;
-  /** Forgets facts that nobody has stated for so long, in milliseconds; it may differ by body. */
+  /**
+   * Merges the rows that another VM held at `asOfMs` on this VM's clock. `from` is the table
+   * instance of that VM; it is omitted when the updates come from their publisher.
+   */
+  merge(updates: readonly FactUpdate<Body>[], asOfMs: number, from?: string): void;
+  /** Removes facts not renewed within the retention time, which may depend on the body. */
   sweep(retentionMs: number | ((body: Body) => number)): void;
 }
 
 /**
- * Whether `a` was stated after `b`: a later incarnation outranks any statement of an earlier one.
+ * Whether `a` supersedes `b`: any update of a later incarnation supersedes those of earlier ones.
  */
 function isLater(a: FactVersion, b: FactVersion): boolean {
   if (a.incarnation !== b.incarnation) return a.incarnation > b.incarnation;
@@ -112,8 +112,8 @@
   ): void {
     const known = rows.get(key);
     const isChanged = !known || JSON.stringify(known.body) !== JSON.stringify(body);
-    // Who leaves out an origin has not seen the bodies that came from it.
-    const isBodyDue = isChanged || known.origin !== origin;
+    // A requester that excluded the former origin never received the body, so it is sent again.
+    const mustResendBody = isChanged || known.origin !== origin;
     revision += 1;
     if (isChanged) bodyRevision = revision;
     rows.set(key, {
@@ -123,7 +123,7 @@
       body,
       receivedAtMs,
       revision,
-      bodyRevision: isBodyDue ? revision : known.bodyRevision,
+      bodyRevision: mustResendBody ? revision : known.bodyRevision,
       origin,
     });
     if (!isChanged || !isUrgent(body, known?.body)) return;
@@ -131,16 +131,16 @@
     onUrgent(body);
   }
 
-  function mergeUpdate(update: FactUpdate<Body>, saidAtMs: number, from: string): void {
+  function mergeUpdate(update: FactUpdate<Body>, asOfMs: number, from: string): void {
     const { key, incarnation = 0, sequence, ageMs, origin = from } = update;
     const known = rows.get(key);
     const version: FactVersion = { incarnation, sequence };
     if (known && !isLater(version, known)) return;
-    // What an earlier incarnation said of itself says nothing of a later one.
-    const isOfSameIncarnation = known?.incarnation === incarnation;
-    const body = update.body ?? (isOfSameIncarnation ? known?.body : undefined);
+    // The body of an earlier incarnation does not describe a later one.
+    const isSameIncarnation = known?.incarnation === incarnation;
+    const body = update.body ?? (isSameIncarnation ? known?.body : undefined);
     if (body === undefined) return;
-    store(key, version, body, { receivedAtMs: saidAtMs - ageMs, origin });
+    store(key, version, body, { receivedAtMs: asOfMs - ageMs, origin });
   }
 
   return {
@@ -160,8 +160,8 @@
     },
     find: (key) => rows.get(key),
     list: () => [...rows.values()],
-    deltaSince(askedInstance, sinceRevision, exceptOrigins = []) {
-      const since = askedInstance === instance ? sinceRevision : 0;
+    deltaSince(requestedInstance, sinceRevision, exceptOrigins = []) {
+      const since = requestedInstance === instance ? sinceRevision : 0;
       const nowMs = clock.nowMs();
       const updates = [...rows.values()]
         .filter((row) => row.revision > since && !exceptOrigins.includes(row.origin))
@@ -188,19 +188,19 @@
     hasUrgentSince(sinceRevision, exceptOrigins = []) {
       if (urgentRevision <= sinceRevision) return false;
       for (const { bodyRevision: changedAt, body, origin } of rows.values()) {
-        const isNews = changedAt > sinceRevision && isUrgent(body);
-        if (isNews && !exceptOrigins.includes(origin)) return true;
+        const isUnseenUrgent = changedAt > sinceRevision && isUrgent(body);
+        if (isUnseenUrgent && !exceptOrigins.includes(origin)) return true;
       }
       return false;
     },
-    merge(updates, saidAtMs, from = '') {
-      updates.forEach((update) => mergeUpdate(update, saidAtMs, from));
+    merge(updates, asOfMs, from = '') {
+      updates.forEach((update) => mergeUpdate(update, asOfMs, from));
     },
     sweep(retentionMs) {
       const nowMs = clock.nowMs();
       rows.forEach(({ receivedAtMs, body }, key) => {
-        const keptMs = typeof retentionMs === 'number' ? retentionMs : retentionMs(body);
-        if (nowMs - receivedAtMs > keptMs) rows.delete(key);
+        const rowRetentionMs = typeof retentionMs === 'number' ? retentionMs : retentionMs(body);
+        if (nowMs - receivedAtMs > rowRetentionMs) rows.delete(key);
       });
     },
   };
--- a/packages/membership/src/feed.ts
+++ b/packages/membership/src/feed.ts
@@ -1,28 +1,28 @@
-/** Messages by which a VM learns what is new, and says what it knows of itself. */
+/** Messages by which a VM publishes its own facts and receives the changes of a source. */
 import type { FactDelta, FactUpdate } from './factTable';
 
 export interface FeedRequest<Body> {
-  /** What the asking VM states. */
+  /** Facts that the requester publishes. */
   readonly updates: readonly FactUpdate<Body>[];
-  /** Run and revision of the source's table that the asking VM has; see `FactDelta`. */
+  /** Instance and revision of the source's table that the requester has; see `FactDelta`. */
   readonly instance: string;
   readonly revision: number;
-  /** Version of the document that the asking VM has; -1 for none. */
+  /** Version of the requester's document; -1 without one. */
   readonly documentVersion: number;
-  /** Incarnations of VMs whose facts the asking VM receives first-hand; they are left out. */
+  /** Table instances whose facts the requester receives directly; the reply omits them. */
   readonly exceptOrigins?: readonly string[];
-  /** How long the source may wait for something urgent. */
+  /** How long the source may hold the request until an urgent change (long polling). */
   readonly waitMs: number;
 }
 
 export interface FeedReply<Body, Document> {
   readonly delta: FactDelta<Body>;
   readonly document?: Document;
-  /** The version that the source knows; -1 for none. */
+  /** Version of the source's document; -1 without one. */
   readonly documentVersion: number;
-  /** Age of the source's confirmation of that version; null without one. */
+  /** Age of the source's confirmation of that version; null when it was never confirmed. */
   readonly confirmedAgeMs: number | null;
-  /** Time between the question's arrival and this answer, on the source's clock. */
+  /** Time between the arrival of the request and this reply, on the source's clock. */
   readonly waitedMs: number;
 }
 
--- a/packages/membership/src/feedClient.ts
+++ b/packages/membership/src/feedClient.ts
@@ -12,50 +12,50 @@
   readonly clock: Clock;
   readonly table: FactTable<Body>;
   readonly documents: DocumentCache<Document>;
-  /** What this process states of itself; asked anew for each exchange. */
+  /** Facts that this process publishes; evaluated for each exchange. */
   readonly statements: () => readonly FactUpdate<Body>[];
-  /** Sends a request to the present source; fails when that does not answer. */
+  /** Sends a request to the current source; rejects when the source does not answer. */
   readonly exchange: (request: FeedRequest<Body>) => Promise<FeedReply<Body, Document>>;
   readonly delay: (durationMs: number) => Promise<void>;
-  /** Whether facts are passed on, and have to say which run of a source heard them first-hand. */
+  /** Whether this process forwards facts, which requires the origin of each one to be recorded. */
   readonly isPassingOn?: boolean;
-  /** Runs of VMs whose facts are heard from themselves; asked anew for each exchange. */
+  /** Table instances whose facts are received directly; evaluated for each exchange. */
   readonly exceptOrigins?: () => readonly string[];
-  /** How long a source may hold back its answer. */
+  /** How long the source may hold a request. */
   readonly waitMs: number;
   readonly retryMs: number;
   readonly onDocument?: (document: Document) => void;
-  /** Called when exchanges begin to fail, and when they succeed again. */
+  /** Called when exchanges start to fail and when they succeed again. */
   readonly onState?: (isConnected: boolean, problem: string) => void;
   /**
-   * Called when the source has started again and no exchange failed meanwhile: what others left out
-   * for its earlier incarnation may be missing here.
+   * Called when the source has restarted without a failed exchange in between. Facts that other
+   * sources omitted because the earlier incarnation delivered them may be missing here.
    */
   readonly onSourceRestart?: () => void;
-  /** Called after each exchange that brought facts. */
+  /** Called after each exchange that delivered facts. */
   readonly onFacts?: () => void;
 }
 
 export interface FeedClient {
-  /** Exchanges for ever, one after the other, until stopped. */
+  /** Performs exchanges one after the other until stopped. */
   run(): Promise<void>;
-  /** States something at once, without waiting for news. */
+  /** Publishes the current facts immediately, without long polling. */
   push(): Promise<void>;
-  /** When a source last answered, on this VM's clock. */
+  /** Time of the last reply of a source, on this VM's clock. */
   readonly syncedAtMs: number;
   /** Whether the last exchange succeeded. */
   readonly isConnected: boolean;
-  /** The run of the source that answered last; empty before the first answer. */
+  /** Table instance of the source that replied last; empty before the first reply. */
   readonly sourceIncarnation: string;
   /**
-   * Asks for everything with the next exchange: to be called when fewer origins are received first-
-   * hand, as the source left their facts out until then.
+   * Requests all facts with the next exchange. Required when an origin is no longer received
+   * directly, as the source has omitted its facts until then.
    */
   restart(): void;
   stop(): void;
 }
 
-/** Keeps a fact table and a document as new as a source has them. */
+/** Synchronises a fact table and a document cache with a source. */
 export function createFeedClient<Body, Document extends Versioned>(
   options: FeedClientOptions<Body, Document>,
 ): FeedClient {
@@ -74,19 +74,19 @@
     options.onState?.(nowConnected, problem);
   }
 
-  function takeIn(reply: FeedReply<Body, Document>, sentAtMs: number): void {
+  function applyReply(reply: FeedReply<Body, Document>, sentAtMs: number): void {
     const nowMs = clock.nowMs();
     syncedAtMs = nowMs;
     if (reply.document && documents.offer(reply.document)) options.onDocument?.(reply.document);
     if (reply.confirmedAgeMs !== null) {
       documents.confirm(reply.documentVersion, sentAtMs + reply.waitedMs - reply.confirmedAgeMs);
     }
-    const { instance: run, updates } = reply.delta;
-    // After a failure nothing is left out for the source, so nothing is missing either.
+    const { instance: sourceInstance, updates } = reply.delta;
+    // After a failed exchange no other source omits facts of this one, so none can be missing.
     const isRestarted =
-      isConnected === true && sourceIncarnation !== '' && run !== sourceIncarnation;
-    sourceIncarnation = run;
-    table.merge(updates, nowMs, options.isPassingOn ? run : undefined);
+      isConnected === true && sourceIncarnation !== '' && sourceInstance !== sourceIncarnation;
+    sourceIncarnation = sourceInstance;
+    table.merge(updates, nowMs, options.isPassingOn ? sourceInstance : undefined);
     if (isRestarted) options.onSourceRestart?.();
     if (reply.delta.updates.length) options.onFacts?.();
   }
@@ -101,7 +101,7 @@
       exceptOrigins: options.exceptOrigins?.() ?? [],
       waitMs,
     });
-    takeIn(reply, sentAtMs);
+    applyReply(reply, sentAtMs);
     return reply;
   }
 
@@ -123,7 +123,7 @@
       while (!isStopped) {
         try {
           const restartsBefore = restarts;
-          // The first exchange with a source does not wait: its answer is what is missing here.
+          // The first exchange with a source delivers all its facts, so it must not be held.
           const { delta } = await exchangeOnce(instance === '' ? 0 : options.waitMs);
           if (restarts === restartsBefore) ({ instance, revision } = delta);
           recordConnection(true);
--- a/packages/membership/src/feedServer.ts
+++ b/packages/membership/src/feedServer.ts
@@ -12,77 +12,83 @@
   readonly clock: Clock;
   readonly table: FactTable<Body>;
   readonly documents: DocumentCache<Document>;
-  /** Renews the confirmation of the document where this process can. */
+  /** Renews the confirmation of the document if this process is able to. */
   readonly refreshConfirmation: () => void;
-  /** Runs a function later; returns how to cancel that. */
+  /** Runs a function after a delay; returns a function that cancels it. */
   readonly schedule: (run: () => void, delayMs: number) => () => void;
-  /** The longest that an answer is held back. */
+  /** Longest time for which a request is held. */
   readonly maxWaitMs: number;
-  /** Least time between two looks at whom something new is for, in milliseconds. */
-  readonly gatherMs?: number;
+  /** Minimum time between two flushes of held requests, in milliseconds. */
+  readonly batchIntervalMs?: number;
 }
 
 export interface FeedServer<Body, Document> {
   answer(request: FeedRequest<Body>): Promise<FeedReply<Body, Document>>;
-  /** To be called after an urgent fact or a new document: answers those who lack it. */
+  /** Answers the held requests that lack an urgent fact or a new document. */
   wake(): void;
 }
 
 /**
- * Changes come in crowds: while 216 engines load their layers there are some 650 within two
- * seconds, and each of them answered by itself costs every pair of control VMs 1 KB each way.
+ * Changes arrive in bursts: while 216 engines load their layers there are about 650 changes within
+ * two seconds. A separate reply to each would cost 1 KB in each direction per pair of control VMs.
  */
-const DEFAULT_GATHER_MS = 50;
+const DEFAULT_BATCH_INTERVAL_MS = 50;
 
-/** A request whose answer is held back. */
-interface Waiting<Body> {
+/** A request that is held until something changes (long polling). */
+interface HeldRequest<Body> {
   readonly request: FeedRequest<Body>;
   readonly release: () => void;
 }
 
-/** Answers feed requests, holding each back until something urgent is new. */
+/** Answers feed requests, holding each until there is an urgent change or the wait time is over. */
 export function createFeedServer<Body, Document extends Versioned>(
   options: FeedServerOptions<Body, Document>,
 ): FeedServer<Body, Document> {
-  const { clock, table, documents, schedule, gatherMs = DEFAULT_GATHER_MS } = options;
-  let waiting: Waiting<Body>[] = [];
-  let lookedAtMs = Number.NEGATIVE_INFINITY;
-  let isLookDue = false;
+  const {
+    clock,
+    table,
+    documents,
+    schedule,
+    batchIntervalMs: gatherMs = DEFAULT_BATCH_INTERVAL_MS,
+  } = options;
+  let heldRequests: HeldRequest<Body>[] = [];
+  let lastFlushAtMs = Number.NEGATIVE_INFINITY;
+  let isFlushScheduled = false;
 
-  /** Whether a request is answered at once; facts that it receives elsewhere are no reason. */
-  function hasNews(request: FeedRequest<Body>): boolean {
+  /** Whether a request is answered immediately. Facts that it excludes by origin do not count. */
+  function hasUnseenChanges(request: FeedRequest<Body>): boolean {
     const { instance, revision, documentVersion, exceptOrigins } = request;
     if (instance !== table.instance || table.hasUrgentSince(revision, exceptOrigins)) return true;
     return (documents.current?.version ?? NO_DOCUMENT_VERSION) > documentVersion;
   }
 
-  function waitForNews(request: FeedRequest<Body>): Promise<void> {
+  function waitForChange(request: FeedRequest<Body>): Promise<void> {
     return new Promise((resolve) => {
       const cancel = schedule(resolve, Math.min(request.waitMs, options.maxWaitMs));
       const release = () => {
         cancel();
         resolve();
       };
-      waiting.push({ request, release });
+      heldRequests.push({ request, release });
     });
   }
 
-  function look(): void {
-    isLookDue = false;
-    lookedAtMs = clock.nowMs();
-    const due = waiting.filter(({ request }) => hasNews(request));
-    waiting = waiting.filter((held) => !due.includes(held));
+  function flush(): void {
+    isFlushScheduled = false;
+    lastFlushAtMs = clock.nowMs();
+    const due = heldRequests.filter(({ request }) => hasUnseenChanges(request));
+    heldRequests = heldRequests.filter((held) => !due.includes(held));
     due.forEach(({ release }) => release());
   }
 
   return {
     async answer(request) {
-      // Who asked counts it as time that has passed there: it must not be too much.
+      // The requester adds this duration to its own send time, so it must not be overestimated.
       const arrivedAtMs = clock.steadyMs();
       table.merge(request.updates, clock.nowMs());
-      if (request.waitMs > 0 && !hasNews(request)) {
-        await waitForNews(request);
-        waiting = waiting.filter((held) => held.request !== request);
+      if (request.waitMs > 0 && !hasUnseenChanges(request)) {
+        await waitForChange(request);
+        heldRequests = heldRequests.filter((held) => held.request !== request);
       }
       options.refreshConfirmation();
       const document = documents.current;
@@ -97,14 +103,14 @@
       };
     },
     wake() {
-      if (isLookDue) return;
-      const sinceMs = clock.nowMs() - lookedAtMs;
+      if (isFlushScheduled) return;
+      const sinceMs = clock.nowMs() - lastFlushAtMs;
       if (sinceMs >= gatherMs) {
-        look();
+        flush();
         return;
       }
-      isLookDue = true;
-      schedule(look, gatherMs - sinceMs);
+      isFlushScheduled = true;
+      schedule(flush, gatherMs - sinceMs);
     },
   };
 }
--- a/packages/membership/src/serverNotice.ts
+++ b/packages/membership/src/serverNotice.ts
@@ -1,19 +1,20 @@
-/** What a backend server says of itself beside an answer, to the VM that it answers. */
+/** State that a backend server reports about itself in the headers of a response. */
 
 /**
- * A notice holds for the incarnation of the server that was asked, and for the VM that it answered.
+ * A notice applies to the incarnation of the server that responded and to the VM that it responded
+ * to.
  */
 export interface ServerNotice {
   readonly instanceId: string;
   readonly address: string;
-  /** The request that it answered; null for an order or a report. */
+  /** The request that the server responded to; null for an order or a report. */
   readonly requestId: string | null;
   readonly status: number;
-  /** How long it wants nothing from this VM, in milliseconds; null where it does not ask for it. */
+  /** Requested backoff of this VM in milliseconds; null when none is requested. */
   readonly backoffMs: number | null;
-  /** It takes no new work, from anybody. */
+  /** Whether the server accepts no new work from any VM. */
   readonly isLeaving: boolean;
-  /** The server that it names as unable to do its part; null where it names none. */
+  /** Address of another server that the response blames for a failure; null without one. */
   readonly culpritAddress: string | null;
 }
 
--- a/packages/membership/src/siblingBackoffs.ts
+++ b/packages/membership/src/siblingBackoffs.ts
@@ -1,20 +1,21 @@
 /**
- * Backoffs that a backend server asked one process of a VM for, sent to the other process of it.
+ * Forwards backoffs that a backend server requested from one process of a VM to the other process
+ * of that VM.
  *
- * A server asks a VM, not a process, to send it nothing: orders and reports of the control role
- * would reach it in a backoff that it asked the entry for.
+ * A backoff applies to the whole VM: without forwarding, orders and reports of the control role
+ * would reach a server during a backoff that it requested from the entry.
  */
 import type { JsonValue } from '@spoolplank/shared';
 import type { FactTable } from './factTable';
 import type { MemberFact, SystemFact } from './systemFacts';
 
-/** How long an incarnation of a backend server wants nothing, from now on. */
+/** Time from now during which an incarnation of a backend server must not be sent anything. */
 export interface BackoffDirective {
   readonly instanceId: string;
   readonly backoffMs: number;
 }
 
-/** Where the other process of this VM is called. */
+/** Address of the other process of this VM. */
 export interface SiblingTarget {
   readonly vmId: string;
   readonly host: string;
@@ -23,21 +24,21 @@
 
 export interface SiblingBackoffsOptions {
   readonly table: Pick<FactTable<SystemFact>, 'list'>;
-  /** This process. */
+  /** Host of this VM. */
   readonly host: string;
   readonly role: MemberFact['role'];
-  /** Calls a method of the other process; rejects when it does not answer. */
+  /** Calls a method of the other process; rejects when there is no answer. */
   readonly call: (sibling: SiblingTarget, method: string, params: JsonValue) => Promise<unknown>;
-  /** Called when the other process could not be reached. */
+  /** Called when the other process cannot be reached. */
   readonly onUndelivered: (problem: string, directive: BackoffDirective) => void;
 }
 
 export interface SiblingBackoffs {
-  /** What the other process calls here. */
+  /** RPC methods that the other process calls. */
   readonly methods: Readonly<Record<string, (params: JsonValue) => JsonValue>>;
-  /** Sets who is called with what the other process was asked for. */
+  /** Sets the listener for backoffs that the other process forwards. */
   onDirective(listener: (directive: BackoffDirective) => void): void;
-  /** Sends it to the other process, where there is one. */
+  /** Forwards a backoff to the other process, if there is one. */
   send(directive: BackoffDirective): void;
 }
 
@@ -45,9 +46,9 @@
 
 export function createSiblingBackoffs(options: SiblingBackoffsOptions): SiblingBackoffs {
   const { table, host, role, call, onUndelivered } = options;
-  let takeIn = (_directive: BackoffDirective): void => {};
+  let receiveDirective = (_directive: BackoffDirective): void => {};
 
-  /** The latest incarnation: an earlier one listened at the same port. */
+  /** Selects the latest incarnation, as the table may still list one that used the same port. */
   function findSibling(): SiblingTarget | undefined {
     const [newest] = table
       .list()
@@ -63,12 +64,12 @@
   return {
     methods: {
       [BACKOFF_METHOD]: (params) => {
-        takeIn(params as unknown as BackoffDirective);
+        receiveDirective(params as unknown as BackoffDirective);
         return true;
       },
     },
     onDirective(listener) {
-      takeIn = listener;
+      receiveDirective = listener;
     },
     send(directive) {
       const sibling = findSibling();
--- a/packages/membership/src/silence.ts
+++ b/packages/membership/src/silence.ts
@@ -1,18 +1,18 @@
-/** When a backend server that has not announced itself counts as lost. */
+/** Time without announcements after which a backend server counts as lost. */
 
-/** An announcement may come seconds late; so many intervals without one are beyond that. */
+/** Announcements may be delayed by seconds; this many missed intervals exceed that delay. */
 const LOST_INTERVALS = 3.5;
 /**
- * The time a fact may take from one control VM to an entry of another: two exchanges held back
- * for 800 ms each, and one that was repeated.
+ * Longest time a fact takes from one control VM to an entry that follows another: two exchanges
+ * that are held for 800 ms each, and one retry.
  */
-const FACT_REACH_MS = 2000;
+const FACT_PROPAGATION_MS = 2000;
 
 /**
- * Silence in milliseconds after which a backend server counts as lost. Where announcements come
- * more often than facts are exchanged, the exchange decides: otherwise all of them would seem
- * lost between two exchanges.
+ * Time in milliseconds without an announcement after which a backend server counts as lost. When
+ * announcements are more frequent than exchanges of facts, the propagation time is the limit:
+ * otherwise all backend servers would count as lost between two exchanges.
  */
 export function lostAfterMs(announcementMs: number): number {
-  return Math.max(LOST_INTERVALS * announcementMs, announcementMs + FACT_REACH_MS);
+  return Math.max(LOST_INTERVALS * announcementMs, announcementMs + FACT_PROPAGATION_MS);
 }
--- a/packages/membership/src/stragglers.ts
+++ b/packages/membership/src/stragglers.ts
@@ -1,12 +1,12 @@
-/** How slow an engine is, as the control VM of its data centre stated it last. */
+/** Slowdown of an engine, as last published by the control VM of its data centre. */
 import type { FactTable } from './factTable';
 import { FACT_KEYS } from './systemFacts';
 import type { SystemFact } from './systemFacts';
 
-/** Engines are asked every two seconds; a statement that old was not repeated twice. */
+/** Engines are polled every two seconds; an older fact has missed two renewals. */
 const STRAGGLER_LIFETIME_MS = 6000;
 
-/** 1 where nothing, or nothing recent, is known. */
+/** Returns 1 when there is no recent fact. */
 export function readSlowdown(
   table: Pick<FactTable<SystemFact>, 'find'>,
   instanceId: string,
--- a/packages/membership/src/systemFacts.ts
+++ b/packages/membership/src/systemFacts.ts
@@ -1,47 +1,47 @@
-/** The facts that VMs of a deployment exchange. */
+/** Types, keys and retention times of the facts that the VMs of a deployment replicate. */
 import { parseInstanceId } from './backendIdentity';
 import type { Fact, FactTable } from './factTable';
 
-/** A process of the system. Its key holds the run, so that a restart is a new member. */
+/** A process of the system. Its key contains the run, so a restarted process is a new member. */
 export interface MemberFact {
   readonly kind: 'member';
   readonly vmId: string;
   readonly dataCentre: string;
   readonly host: string;
   readonly role: 'entry' | 'control';
-  /** Where callers connect; entries only. */
+  /** Address on which callers connect; only entries have one. */
   readonly callerAddress?: string;
-  /** Where other VMs call. */
+  /** Port on which other VMs connect. */
   readonly peerPort?: number;
-  /** Identity in the replicated log; control with a disk only. */
+  /** Identity in the replicated log; only control VMs with a disk have one. */
   readonly replicaId?: string;
   readonly state: 'starting' | 'ready' | 'leaving';
 }
 
 /**
- * Requests in flight, by the engine that their chain begins with: what an entry states of itself,
- * and what a control VM passes on as the sum over its entries.
+ * Requests in flight, keyed by the first engine of their chain. An entry publishes its own; a
+ * control VM publishes the sum over the entries that report to it.
  */
 export interface LoadFact {
   readonly kind: 'load';
   readonly inFlight: Readonly<Record<string, number>>;
 }
 
-/** A range of layers; `endLayer` is not part of it. */
+/** A half-open range of layers: `endLayer` is excluded. */
 export interface LayerRange {
   readonly firstLayer: number;
   readonly endLayer: number;
 }
 
-/** What a model engine holds. */
+/** State of a model engine. */
 export interface EngineFact {
   readonly acceleratorKind: string;
-  /** Null while it holds no layers. */
+  /** Layers loaded by the engine; null when there are none. */
   readonly held: LayerRange | null;
   readonly version: number;
 }
 
-/** A backend server, as it announced itself. */
+/** The last announcement of a backend server. */
 export interface BackendFact {
   readonly kind: 'backend';
   /** Unique to one incarnation of the backend server; see `BackendIdentity`. */
@@ -55,93 +55,95 @@
 }
 
 /**
- * An engine that others wait for in vain. Its sequence is that of the last announcement known
- * then, so that the next announcement of the engine clears it.
+ * An engine that does not respond to other processes. The fact has the sequence of the engine's
+ * last known announcement, so the next announcement of the engine clears it.
  */
 export interface SuspicionFact {
   readonly kind: 'suspicion';
   readonly instanceId: string;
 }
 
-/** How much longer an engine takes for everything than its kind does; stated again and again. */
+/** Slowdown of an engine relative to other engines of its kind; published periodically. */
 export interface StragglerFact {
   readonly kind: 'straggler';
   readonly instanceId: string;
-  /** 1 for an engine that is as fast as its kind. */
+  /** 1 for an engine that runs at the usual speed of its kind. */
   readonly slowdown: number;
 }
 
-/** Requests of usual size that the chains of a data centre hold for a service, and have now. */
+/** Capacity and load of the chains of a data centre for one service, in requests of usual size. */
 export interface ServiceCapacity {
   readonly capacity: number;
   readonly inFlight: number;
-  /** Requests that wait for a slot there. */
+  /** Requests that wait for a slot in the data centre. */
   readonly waiting: number;
 }
 
-/** What the VM knows that gives out the slots of a data centre's chains. */
+/** Chain capacity of a data centre, as published by the VM that allocates its slots. */
 export interface CapacityFact {
   readonly kind: 'capacity';
   readonly dataCentre: string;
   readonly services: Readonly<Record<string, ServiceCapacity>>;
-  /** Requests a second that servers there named, by instance; absent where none did. */
+  /** Rate limits in requests per second that servers reported, by instance; absent without any. */
   readonly limitsPerS?: Readonly<Record<string, number>>;
 }
 
 /**
- * What ties a content to an incarnation of a backend server that ended: the server had begun to run
- * it, or an attempt was under way and nothing shows that it had come so far.
+ * How a request content is linked to the crash of a backend server. `run`: the server had started
+ * to execute it. `attempt`: a request with it was in flight, without proof that execution started.
  */
 export type CrashEvidence = 'run' | 'attempt';
 
-/** Which content, at which incarnation of a backend server, and how that is known. */
+/** A request content, the incarnation of the backend server that received it, and the evidence. */
 export interface CrashIdentity {
-  /** Digest of the content. */
+  /** Digest of the request content. */
   readonly content: string;
   readonly instanceId: string;
   /**
-   * Runs that were sent the content under one name: 1 and more for those that came after another
-   * one had broken off, as the server's next run is sent requests before it has announced itself.
+   * Number of earlier attempts that broke off under the same instance id. It can exceed 0 because
+   * a restarted server receives requests before it has announced its new incarnation.
    */
   readonly turn: number;
   readonly evidence: CrashEvidence;
 }
 
 /**
- * An incarnation of a backend server that ended, and a request content that it had just begun to
- * run. Each VM states what it saw; the set of them is what counts, so no VM has to keep a count.
+ * The crash of an incarnation of a backend server shortly after it received a request content.
+ * Each VM publishes what it observed; crashes are counted by distinct keys, so the same crash
+ * reported by several VMs counts once and no VM maintains a counter.
  */
 export interface CrashFact extends CrashIdentity {
   readonly kind: 'crash';
-  /** How long the content had run there. */
+  /** How long the server had been executing the content. */
   readonly ranMs: number;
 }
 
 /**
- * A content at an incarnation of a backend server of which nobody knows yet whether it ends: an
- * attempt that broke off, or one that is under way. Others hold it against the content if the
- * server has ended, also when the VM that stated it is gone by then.
+ * An attempt that is in flight or has broken off while it is unknown whether the backend server
+ * crashed. If the server turns out to have crashed, other VMs count the crash against the content,
+ * even when the VM that published this fact is gone.
  */
 export interface OpenRunFact extends CrashIdentity {
   readonly kind: 'open-run';
   readonly address: string;
   readonly ranMs: number;
-  /** Time of day at which it was stated: a further attempt at one run is another body. */
+  /** Wall-clock time of publication; it makes each further attempt at one incarnation distinct. */
   readonly wallMs: number;
 }
 
-/** A content that is cleared of all ends stated before: it was run, or an operator says so. */
+/**
+ * Clears a content of all crashes published before, because it was executed successfully or by
+ * decision of an operator.
+ */
 export interface ClearanceFact {
   readonly kind: 'clearance';
   readonly content: string;
   readonly reason: 'served' | 'operator';
-  /** Time of day at which it was stated: it makes one clearance another body than the last. */
+  /** Wall-clock time of publication; it makes each clearance distinct from the previous one. */
   readonly wallMs: number;
 }
 
-/**
- * An incarnation of a backend server that takes no new work, as it said with an answer to some VM.
- */
+/** An incarnation of a backend server that announced in a response that it accepts no new work. */
 export interface LeavingFact {
   readonly kind: 'leaving';
   readonly instanceId: string;
@@ -161,22 +163,20 @@
 
 export type SystemFactKind = SystemFact['kind'];
 
-/** The key under which a fact is kept. */
+/** Keys under which facts are stored. */
 export const FACT_KEYS = {
   member: (host: string, run: string) => `member/${host}/${run}`,
   load: (host: string, run: string) => `load/${host}/${run}`,
-  /** The key of the entry that states a load. */
+  /** Key of the member that published a load. */
   memberOfLoad: (loadKey: string) => loadKey.replace(/^load/, 'member'),
-  /**
-   * One row for all incarnations of a backend server, so that the latest is the one that is known.
-   */
+  /** All incarnations of a backend server share one row, which holds the latest incarnation. */
   backend: (instanceId: string) => `backend/${parseInstanceId(instanceId).serverId}`,
-  /** Two VMs may both believe for a moment that they give out the slots of a data centre. */
+  /** The key contains the host, as two VMs may briefly both act as allocator of a data centre. */
   capacity: (dataCentre: string, host: string) => `capacity/${dataCentre}/${host}`,
   straggler: (instanceId: string) => `straggler/${instanceId}`,
   suspicion: (instanceId: string) => `suspicion/${instanceId}`,
   leaving: (instanceId: string) => `leaving/${instanceId}`,
-  /** What shows that a server had run a content is never displaced by what does not. */
+  /** The key contains the evidence, so that an attempt never overwrites the proof of a run. */
   crash: ({ evidence, content, instanceId, turn }: CrashIdentity) =>
     `crash/${evidence}/${content}/${instanceId}/${turn}`,
   openRun: ({ evidence, content, instanceId, turn }: CrashIdentity) =>
@@ -184,21 +184,24 @@
   clearance: (content: string) => `clearance/${content}`,
 } as const;
 
-/** Facts are kept ten times longer than any announcement may be late. */
+/** Ten times the longest possible delay of an announcement. */
 const RETENTION_MS = 60_000;
 /**
- * What is known of contents that end servers: well beyond the minutes in which callers repeat a
- * request. A content that keeps coming is stated anew before that, so it stays known.
+ * Retention of crashes and clearances: well beyond the minutes within which callers repeat a
+ * request. For a content that keeps being sent, the fact is renewed before it expires.
  */
 export const CRASH_RETENTION_MS = 1_800_000;
 
 /**
- * A server that is back before anybody looked is known by its next announcement, which comes within
- * a second or two, and may come some seconds late. One that ends later ends for another reason.
+ * A restart that no probe noticed shows in the server's next announcement, which follows within one
+ * or two seconds and may be delayed by some seconds more. A crash after that has another cause.
  */
 export const OPEN_RUN_RETENTION_MS = 8000;
 
-/** Runs that leave end within seconds; one that takes minutes must not seem to be back. */
+/**
+ * A leaving server usually exits within seconds. The retention covers one that takes minutes, which
+ * would otherwise count as available again.
+ */
 const LEAVING_RETENTION_MS = 600_000;
 
 const RETENTIONS_MS: Readonly<Partial<Record<SystemFactKind, number>>> = {
@@ -208,22 +211,22 @@
   leaving: LEAVING_RETENTION_MS,
 };
 
-/** How long a fact is kept that nobody states again, in milliseconds. */
+/** Time in milliseconds after which a fact that is not renewed is removed. */
 export function retentionOf({ kind }: SystemFact): number {
   return RETENTIONS_MS[kind] ?? RETENTION_MS;
 }
 
 type FactLookup = Pick<FactTable<SystemFact>, 'find'>;
 
-/** Whether a run said that it takes no new work; nothing that is said of it later undoes that. */
+/** Whether an incarnation announced that it accepts no new work; this is never revoked. */
 export function isLeaving(table: FactLookup, instanceId: string): boolean {
   return table.find(FACT_KEYS.leaving(instanceId)) !== undefined;
 }
 
-/** A run leaves once: that it does has one version. */
+/** An incarnation leaves only once, so the fact has a single version. */
 const LEAVING_VERSION = 1;
 
-/** States that a run takes no new work; false where that is known. */
+/** Publishes that an incarnation accepts no new work; false when this is already known. */
 export function stateLeaving(
   table: Pick<FactTable<SystemFact>, 'put'>,
   instanceId: string,
@@ -231,33 +234,30 @@
   return table.put(FACT_KEYS.leaving(instanceId), LEAVING_VERSION, { kind: 'leaving', instanceId });
 }
 
-/** A sequence that no announcement goes beyond: what ended stays ended. */
+/** The highest sequence. No later announcement of the incarnation can supersede its withdrawal. */
 export const FINAL_SEQUENCE = Number.MAX_SAFE_INTEGER;
 
-/** What is known of one incarnation of a backend server. */
+/** The table row of a backend server. */
 export type BackendRow = Fact<SystemFact> & { readonly body: BackendFact };
 
-function findServer(table: FactLookup, instanceId: string): BackendRow | undefined {
+function findLatestIncarnation(table: FactLookup, instanceId: string): BackendRow | undefined {
   const fact = table.find(FACT_KEYS.backend(instanceId));
   return fact?.body.kind === 'backend' ? { ...fact, body: fact.body } : undefined;
 }
 
-/**
- * The row of just this incarnation; undefined where it is not known, or a later incarnation has
- * replaced it.
- */
+/** The row of exactly this incarnation; undefined when it is unknown or has been superseded. */
 export function findBackend(table: FactLookup, instanceId: string): BackendRow | undefined {
-  const row = findServer(table, instanceId);
+  const row = findLatestIncarnation(table, instanceId);
   return row?.body.instanceId === instanceId ? row : undefined;
 }
 
-/** Whether a run is over because its backend server has started again. */
+/** Whether an incarnation has ended because its backend server has restarted. */
 export function hasRestarted(table: FactLookup, instanceId: string): boolean {
-  const row = findServer(table, instanceId);
+  const row = findLatestIncarnation(table, instanceId);
   return row !== undefined && row.incarnation > parseInstanceId(instanceId).incarnation;
 }
 
-/** Whether a changed fact shows that a backend server has started again. */
+/** Whether a changed fact shows that a backend server has restarted. */
 export function isRestart(body: SystemFact, before: SystemFact | undefined): boolean {
   if (body.kind !== 'backend' || before?.kind !== 'backend') return false;
   return body.instanceId !== before.instanceId;
