--- a/packages/controller/__tests__/groupWatch.spec.ts
+++ b/packages/controller/__tests__/groupWatch.spec.ts
@@ -46,13 +46,13 @@
   return { clock, lines, watch };
 }
 
-describe('the watch over a group', () => {
-  it('says once that the quorum is lost, for want of whom, and how long that lasted', () => {
+describe('the group watch', () => {
+  it('logs the loss of the quorum once, with the silent voters, and the duration afterwards', () => {
     const { clock, lines, watch } = createFixture();
     watch.observe(createStatus({ leaderId: 'vm2#b' }), true);
     clock.advance(ELECTION_LIMIT_MS);
     watch.observe(createStatus(), false);
-    assert.equal(lines.length, 0, 'an election takes its time');
+    assert.equal(lines.length, 0, 'an ordinary election is not a loss');
     clock.advance(500);
     watch.observe(createStatus(), false);
     watch.observe(createStatus(), false);
@@ -66,7 +66,7 @@
     assert.equal(lines[1].fields.lostForMs, 3000);
   });
 
-  it('says which vote was denied and why, and does not repeat itself', () => {
+  it('logs a denied vote with its reason, and does not repeat it', () => {
     const { lines, watch } = createFixture();
     const denial = { candidate: 'vm2#b', reason: 'log-behind', isPreVote: true } as const;
     [4, 5, 6].forEach((term) =>
@@ -76,15 +76,15 @@
   });
 });
 
-describe('the watch over a group with too few voters', () => {
-  it('says once that the losses which are promised are not borne', () => {
+describe('the watch of a group with too few voters', () => {
+  it('logs once that the promised losses are not tolerated', () => {
     const { clock, lines, watch } = createFixture();
     const configuration = { voters: ['vm1#a', 'vm2#b'], learners: [] };
     const status = createStatus({ role: 'leader', leaderId: 'vm1#a', configuration });
     watch.observe(status, true);
     clock.advance(FEW_VOTERS_LIMIT_MS);
     watch.observe(status, true);
-    assert.equal(lines.length, 0, 'a newcomer takes its time');
+    assert.equal(lines.length, 0, 'a joining replica needs time to catch up');
     clock.advance(100);
     watch.observe(status, true);
     watch.observe(status, true);
@@ -96,13 +96,13 @@
 });
 
 describe('the summary of a group', () => {
-  it('counts how many more voters may fall silent', () => {
+  it('counts how many further voters may fail', () => {
     const { silentVoters, tolerableLosses } = summarizeGroup(createStatus(), SILENT_AFTER_MS);
     assert.deepEqual(silentVoters, ['vm3#c']);
     assert.equal(tolerableLosses, 0);
   });
 
-  it('does not count on a follower, which hears only its leader', () => {
+  it('has no count on a follower, which only receives messages from its leader', () => {
     const status = createStatus({ leaderId: 'vm2#b' });
     const { silentVoters, tolerableLosses } = summarizeGroup(status, SILENT_AFTER_MS);
     assert.equal(silentVoters, null);
--- a/packages/controller/__tests__/renderGroup.spec.ts
+++ b/packages/controller/__tests__/renderGroup.spec.ts
@@ -17,7 +17,7 @@
 };
 
 describe('the table of a control group', () => {
-  it('says who votes, who leads, who is silent, and how many losses it bears', () => {
+  it('shows voters, leader, silent replicas and the number of tolerable losses', () => {
     assert.deepEqual(renderGroup(SUMMARY), [
       'Control group: leader in term 4, bears 0 more losses',
       'REPLICA  PART     LEADER  HEARD',
@@ -28,7 +28,7 @@
     ]);
   });
 
-  it('says that there is no majority', () => {
+  it('shows that there is no majority', () => {
     const [heading] = renderGroup({ ...SUMMARY, role: 'pre-candidate', tolerableLosses: -1 });
     assert.equal(
       heading,
--- a/packages/controller/src/group/copyRestart.ts
+++ b/packages/controller/src/group/copyRestart.ts
@@ -1,4 +1,4 @@
-/** Turns the copy of one replica into a group of its own, of which it is the only voter. */
+/** Turns the log copy of one replica into a new group of which the replica is the only voter. */
 import type { ReplicaId, ReplicaStorage, StateMachine } from '@spoolplank/consensus';
 
 export interface CopyRestartOptions {
@@ -8,10 +8,10 @@
 }
 
 /**
- * Applies all that the copy holds, in force or not, and stores it as a snapshot with this replica
- * as the only voter. The replica must not run meanwhile.
+ * Applies all entries of the copy, whether committed or not, and stores the result as a snapshot
+ * with this replica as the only voter. The replica must be stopped.
  */
-export async function goOnFromCopy(options: CopyRestartOptions): Promise<void> {
+export async function restartFromCopy(options: CopyRestartOptions): Promise<void> {
   const { storage, stateMachine, replicaId } = options;
   const { snapshot, base, entries, hardState } = await storage.load();
   stateMachine.restore(snapshot ? await storage.readSnapshot() : '');
--- a/packages/controller/src/group/groupGeneration.ts
+++ b/packages/controller/src/group/groupGeneration.ts
@@ -1,6 +1,7 @@
 /**
- * How often a group went on from one copy. A replica takes messages of its own generation only, so
- * that voters which come back late cannot form a majority beside the group that went on.
+ * Counts how often a group was recovered from a single copy. A replica accepts only messages of its
+ * own generation, so that voters that return late cannot form a second majority beside the
+ * recovered group.
  */
 import { join } from 'node:path';
 import {
@@ -14,13 +15,13 @@
 export interface GroupGeneration {
   /** 0 for a group that was never recovered. */
   readonly current: number;
-  /** Name under which replicas of this generation send to each other. */
+  /** Group name in the messages between replicas of this generation. */
   readonly groupName: string;
-  /** Stores another generation. */
+  /** Stores a new generation. */
   advance(generation: number): Promise<void>;
   /**
-   * Puts the replica's log aside, for a group that went on without it. The VM starts again with a
-   * blank folder, and under another identity.
+   * Moves the replica's log aside because the group was recovered without it. The VM restarts with
+   * an empty folder and a new identity.
    */
   supersede(generation: number): Promise<void>;
 }
@@ -34,7 +35,7 @@
   readonly generation: number;
 }
 
-/** Loads what the data folder holds. */
+/** Loads the generation from the data folder. */
 export async function loadGroupGeneration({
   dataFolder,
   group,
--- a/packages/controller/src/group/groupLoop.ts
+++ b/packages/controller/src/group/groupLoop.ts
@@ -1,4 +1,4 @@
-/** Looks at a group every so often, and carries out what is decided about its members. */
+/** Periodically evaluates a group and executes the resulting membership changes. */
 import { replicasOf } from '@spoolplank/consensus';
 import type {
   ConfigurationChange,
@@ -22,44 +22,44 @@
   readonly replicaId: ReplicaId;
   readonly dataCentre: string;
   readonly isFirstStart: boolean;
-  /** Null while the replica takes no part. */
+  /** Null while the replica is not running. */
   readonly runner: () => GroupRunner | null;
-  /** Asks all others for the same: only the leader, whoever that is, answers with success. */
-  readonly askOthers: (method: string, request: JoinRequest, onTaken: () => void) => void;
-  /** Looks for a group that went on without this replica. */
+  /** Sends the same request to all other VMs; it succeeds only on the leader. */
+  readonly askOthers: (method: string, request: JoinRequest, onAccepted: () => void) => void;
+  /** Checks whether the group was recovered without this replica. */
   readonly checkGeneration: () => Promise<void>;
   readonly onLeadWon?: () => void;
 }
 
 export interface GroupLoop {
   start(): void;
-  /** Looks at once, as something was asked for. */
-  lookNow(): void;
+  /** Evaluates the group immediately, after a membership request was received. */
+  evaluateNow(): void;
   stop(): void;
 }
 
-/** Time between two looks at the group while its members change, or nobody leads it. */
+/** Interval of evaluations while the membership changes or there is no confirmed leader. */
 const STEP_MS = 100;
-/** The same while nothing is to be done: looks cost processor time on every control VM. */
+/** Interval while the group is stable, as evaluations cost processor time on every control VM. */
 const IDLE_STEP_MS = 250;
-/** Pause between two rounds of asking all others for the same. */
+/** Minimum time between two rounds of requests to all other VMs. */
 const ASK_PAUSE_MS = 250;
-/** Time between two looks for a group that went on without this one, while nobody leads it. */
+/** Interval of generation checks while there is no confirmed leader. */
 const GENERATION_CHECK_MS = 2000;
-/** The same on a leader, which may lead voters that came back late. */
+/** Interval of generation checks on a leader, whose voters may all have returned late. */
 const LEADER_GENERATION_CHECK_MS = 30_000;
 
 export function createGroupLoop(options: GroupLoopOptions): GroupLoop {
   const { clock, log, membership, watch, replicaId, runner } = options;
   let isStopped = false;
   let wasLeader = false;
-  let askedAtMs = Number.NEGATIVE_INFINITY;
+  let requestedAtMs = Number.NEGATIVE_INFINITY;
   let checkedAtMs = Number.NEGATIVE_INFINITY;
 
-  function askOthers(method: string, request: JoinRequest, onTaken = () => {}): void {
-    if (clock.nowMs() - askedAtMs < ASK_PAUSE_MS) return;
-    askedAtMs = clock.nowMs();
-    options.askOthers(method, request, onTaken);
+  function askOthers(method: string, request: JoinRequest, onAccepted = () => {}): void {
+    if (clock.nowMs() - requestedAtMs < ASK_PAUSE_MS) return;
+    requestedAtMs = clock.nowMs();
+    options.askOthers(method, request, onAccepted);
   }
 
   function changeMembership(
@@ -78,7 +78,7 @@
       .catch((error: unknown) => log.warn('group-change-failed', { problem: String(error) }));
   }
 
-  function act(running: GroupRunner, action: MembershipAction): void {
+  function execute(running: GroupRunner, action: MembershipAction): void {
     if (action.kind === 'change') changeMembership(running, action.change, action.reason);
     else if (action.kind === 'hand-over') {
       const { successor, reason } = action;
@@ -91,7 +91,7 @@
     } else askOthers('group.leave', { replicaId }, membership.confirmLeave);
   }
 
-  function recordLead({ role, term, leaderId }: ReplicaStatus): void {
+  function recordLeadership({ role, term, leaderId }: ReplicaStatus): void {
     const isLeader = role === 'leader';
     if (isLeader === wasLeader) return;
     wasLeader = isLeader;
@@ -107,21 +107,21 @@
       .catch((error: unknown) => log.warn('generation-unchecked', { problem: String(error) }));
   }
 
-  /** Does what is to be done; whether the group is to be looked at soon again. */
+  /** Executes the next action; returns whether the group must be evaluated again soon. */
   function step(running: GroupRunner): boolean {
     const status = running.status();
-    recordLead(status);
+    recordLeadership(status);
     const isConfirmed = wasLeader ? running.canRead() : status.leaderId !== null;
     watch.observe(status, isConfirmed);
     if (!isConfirmed) checkGenerationAfter(GENERATION_CHECK_MS);
     else if (wasLeader) checkGenerationAfter(LEADER_GENERATION_CHECK_MS);
     const action = membership.next(status);
-    if (action) act(running, action);
+    if (action) execute(running, action);
     const { learners, outgoing } = status.configuration;
     return action !== null || learners.length > 0 || Boolean(outgoing) || !isConfirmed;
   }
 
-  function look(): boolean {
+  function evaluate(): boolean {
     const running = runner();
     if (!running) return false;
     try {
@@ -133,17 +133,17 @@
   }
 
   async function run(): Promise<void> {
-    while (!isStopped) await delay(look() ? STEP_MS : IDLE_STEP_MS);
+    while (!isStopped) await delay(evaluate() ? STEP_MS : IDLE_STEP_MS);
   }
 
   return {
     start() {
-      // It may have been away while the group went on without it.
+      // The group may have been recovered while this replica was stopped.
       checkGenerationAfter(0);
       run().catch((error: unknown) => log.error('group-ended', { problem: String(error) }));
     },
-    lookNow() {
-      look();
+    evaluateNow() {
+      evaluate();
     },
     stop() {
       isStopped = true;
--- a/packages/controller/src/group/groupMember.ts
+++ b/packages/controller/src/group/groupMember.ts
@@ -1,6 +1,6 @@
 /**
- * One member of a replicated log's group, as a process runs it: it founds the group with others or
- * finds it, takes part in it, and does what `createGroupMembership` decides.
+ * A member of a replication group within a process. It finds the group or bootstraps it with
+ * others, runs the replica, and executes the decisions of `createGroupMembership`.
  */
 import { join } from 'node:path';
 import {
@@ -31,7 +31,7 @@
 import { createGroupSearch } from './groupSearch';
 import { createGroupWatch, summarizeGroup } from './groupWatch';
 import type { GroupSummary } from './groupWatch';
-import { goOnFromCopy } from './copyRestart';
+import { restartFromCopy } from './copyRestart';
 import { createRaftTransport } from './raftTransport';
 
 export interface GroupMemberOptions {
@@ -41,64 +41,64 @@
   readonly peers: PeerClient;
   /** Name of the group, and of its folder in the data folder. */
   readonly group: string;
-  /** Name of this VM among its peers; begins the identity of its replica. */
+  /** Name of this VM among its peers; prefix of its replica id. */
   readonly vmId: string;
   readonly dataCentre: string;
   readonly dataFolder: string;
-  /** VMs that found the group when all of them are blank; none where it must exist already. */
+  /** VMs that bootstrap the group when none of them has data; empty when the group must exist. */
   readonly founders: readonly string[];
-  /** Whether this VM starts with the whole system, and so takes nobody's place. */
+  /** Whether this VM starts together with the whole system and so replaces no other member. */
   readonly isFirstStart: boolean;
   readonly promise: GroupPromise;
   readonly timings: ElectionTimings;
-  /** How the replica is run; see `GroupRunnerOptions`. */
+  /** Options of the runner; see `GroupRunnerOptions`. */
   readonly running?: {
     readonly tickIntervalMs?: number;
     readonly snapshotEveryEntries?: number;
     readonly keepEntries?: number;
     readonly proposalTimeoutMs?: number;
   };
-  /** Other control VMs known now. */
+  /** The other control VMs that are currently known. */
   readonly listOthers: () => readonly string[];
   readonly findTarget: (vmId: string) => PeerTarget | undefined;
   readonly dataCentreOf: (vmId: string) => string | undefined;
   readonly stateMachine: StateMachine;
-  /** What the state machine holds, in a few words, for an operator who compares copies. */
+  /** Short description of the state machine, for an operator who compares copies. */
   readonly describeState: () => string;
   readonly onApplied: () => void;
   readonly onLeadWon?: () => void;
-  /** Called when the replica cannot go on; the process should end. */
+  /** Called when the replica cannot continue; the process should exit. */
   readonly onFatal: (error: SpoolplankError) => void;
 }
 
 export interface GroupMember extends Pick<GroupRecovery, 'report' | 'recover'> {
-  /** What other control VMs call here. */
+  /** RPC methods that other control VMs call. */
   readonly methods: Readonly<Record<string, PeerMethod>>;
   start(): Promise<void>;
-  /** Hands over the lead, and the vote where another member can take it, and stops. */
+  /** Transfers leadership, and the vote if another member can take it, and stops. */
   stop(): Promise<void>;
   /** @throws SpoolplankError `not-leader`, and those of `GroupRunner.propose`. */
   propose(command: JsonValue): Promise<JsonValue>;
-  /** Whether this replica leads and a quorum confirms it now. */
+  /** Whether this replica is the leader and a quorum confirms it now. */
   canRead(): boolean;
-  /** The VM that leads, as far as this replica knows. */
+  /** The leader's VM, as far as this replica knows. */
   leaderVm(): string | undefined;
-  /** Null while the replica looks for its group. */
+  /** Null while the replica searches for its group. */
   status(): ReplicaStatus | null;
-  /** What this replica believes of the group; null while it looks for it. */
+  /** The group as seen by this replica; null while it searches for its group. */
   summary(): GroupSummary | null;
-  /** Time since a leader was last known to be confirmed by a quorum; infinite when never. */
+  /** Time since a quorum was last known to confirm a leader; infinite when it never was. */
   unconfirmedMs(): number;
   readonly replicaId: string;
 }
 
 const POLL_MS = 100;
-const ASK_TIMEOUT_MS = 500;
-/** Part of the time after which the next VM may be lost that a process takes to hand over. */
+const REQUEST_TIMEOUT_MS = 500;
+/** Share of the interval between two tolerated VM losses that a process may use for hand-over. */
 const HAND_OVER_SHARE = 0.5;
-/** Two random election timeouts, and one more where the votes were split. */
+/** Two random election timeouts, and one more for a split vote. */
 const ELECTION_LIMIT_TIMEOUTS = 3;
-/** A replica that takes part answers, or asks for votes, within twice the election timeout. */
+/** An active replica responds or requests votes within twice the election timeout. */
 const SILENT_AFTER_TIMEOUTS = 2;
 
 export async function createGroupMember(options: GroupMemberOptions): Promise<GroupMember> {
@@ -132,7 +132,7 @@
   const status = () => runner?.status() ?? null;
   const canRead = () => runner?.canRead() ?? false;
 
-  async function takePart(): Promise<void> {
+  async function startReplica(): Promise<void> {
     const created = createGroupRunner({
       ...options.running,
       id: replicaId,
@@ -156,7 +156,7 @@
     runner = created;
   }
 
-  async function takeNoPart(): Promise<void> {
+  async function stopReplica(): Promise<void> {
     const ending = runner;
     runner = null;
     await ending?.stop();
@@ -194,31 +194,32 @@
     listOthers: search.listOthers,
     findTarget,
     describeCopy,
-    async goOnAlone() {
-      await takeNoPart();
+    async restartAsOnlyVoter() {
+      await stopReplica();
       await generation.advance(generation.current + 1);
-      await goOnFromCopy({ storage, stateMachine, replicaId });
-      await takePart();
+      await restartFromCopy({ storage, stateMachine, replicaId });
+      await startReplica();
     },
   });
 
-  /** Puts this replica's copy aside, as the group went on without it; the VM starts anew. */
-  async function giveWay(newer: number): Promise<void> {
+  /** Moves this replica's log aside, as the group was recovered without it; the VM restarts. */
+  async function retireReplica(newer: number): Promise<void> {
     log.warn('group-superseded', { generation: generation.current, newer });
-    await takeNoPart();
+    await stopReplica();
     await generation.supersede(newer);
     options.onFatal(new SpoolplankError('superseded'));
   }
 
   async function checkGeneration(): Promise<void> {
     const newer = await search.findNewerGeneration();
-    if (newer !== null && !isStopping) await giveWay(newer);
+    if (newer !== null && !isStopping) await retireReplica(newer);
   }
 
-  function askOthers(method: string, request: JoinRequest, onTaken: () => void): void {
+  function askOthers(method: string, request: JoinRequest, onAccepted: () => void): void {
     search.listOthers().forEach((other) => {
       const target = findTarget(other);
-      if (target) peers.call(target, method, request, ASK_TIMEOUT_MS).then(onTaken, () => null);
+      if (target)
+        peers.call(target, method, request, REQUEST_TIMEOUT_MS).then(onAccepted, () => null);
     });
   }
 
@@ -236,14 +237,14 @@
     onLeadWon: options.onLeadWon,
   });
 
-  /** Takes what a member, or a VM that wants to be one, asks of the leader. */
-  function takeRequest(take: (request: JoinRequest) => void): PeerMethod {
+  /** Creates the method by which a member or joining VM sends a request to the leader. */
+  function createLeaderMethod(handle: (request: JoinRequest) => void): PeerMethod {
     return (params, sender) => {
       const request = params as unknown as JoinRequest;
       if (!canRead()) throw new SpoolplankError('not-leader');
       if (vmOfReplica(request.replicaId) !== sender) throw new SpoolplankError('forbidden');
-      take(request);
-      loop.lookNow();
+      handle(request);
+      loop.evaluateNow();
       return null;
     };
   }
@@ -251,15 +252,15 @@
   const methods: Readonly<Record<string, PeerMethod>> = {
     'consensus.step': (params, sender) => {
       const { messages } = params as unknown as { readonly messages: readonly Message[] };
-      // A VM speaks for its own replicas only.
+      // A VM may only send messages of its own replicas.
       messages
         .filter(({ from }) => vmOfReplica(from) === sender)
         .forEach((message) => runner?.receive(message));
       return null;
     },
     'group.describe': () => describeGroup() as unknown as JsonValue,
-    'group.join': takeRequest((request) => membership.recordJoin(request)),
-    'group.leave': takeRequest((request) => membership.recordLeave(request.replicaId)),
+    'group.join': createLeaderMethod((request) => membership.recordJoin(request)),
+    'group.leave': createLeaderMethod((request) => membership.recordLeave(request.replicaId)),
     ...recovery.methods,
   };
 
@@ -270,7 +271,7 @@
     while (membership.hasToHandOver(ending.status()) && clock.nowMs() < endsAtMs) {
       await delay(POLL_MS);
     }
-    // The vote for the successor is still on its way.
+    // Leaves time for the vote for the successor to arrive.
     await delay(POLL_MS);
   }
 
@@ -286,14 +287,14 @@
       const isBlank = stored.snapshot === null && stored.entries.length === 0;
       while (isBlank && !isStopping && !(await search.tryToFind())) await delay(POLL_MS);
       if (isStopping) return;
-      await takePart();
+      await startReplica();
       log.info('replica-started', { replica: replicaId, isBlank });
       loop.start();
     },
     async stop() {
       isStopping = true;
       if (runner) await handOver(runner);
-      await takeNoPart();
+      await stopReplica();
       loop.stop();
     },
     propose: (command) =>
--- a/packages/controller/src/group/groupMetrics.ts
+++ b/packages/controller/src/group/groupMetrics.ts
@@ -1,17 +1,17 @@
-/** Gauges of a replicated log's group, as one of its replicas sees it. */
+/** Gauges of a replication group, as seen by one of its replicas. */
 import type { Metrics } from '@spoolplank/node';
 import type { GroupSummary } from './groupWatch';
 
 export interface GroupSource {
   summary(): GroupSummary | null;
-  /** Time in milliseconds since a leader was last confirmed by a quorum; infinite when never. */
+  /** Milliseconds since a quorum last confirmed a leader; infinite when it never did. */
   unconfirmedMs(): number;
 }
 
-/** Shown where a replica does not know a figure. */
+/** Value of a gauge that the replica does not know. */
 const UNKNOWN = Number.NaN;
 
-/** Registers the gauges; they are read when the metrics are. */
+/** Registers the gauges, which are evaluated when the metrics are read. */
 export function registerGroupMetrics(metrics: Metrics, { summary, unconfirmedMs }: GroupSource) {
   metrics.gauge('spoolplank_group_voters', () => summary()?.voters.length ?? UNKNOWN);
   metrics.gauge('spoolplank_group_silent_voters', () => summary()?.silentVoters?.length ?? UNKNOWN);
--- a/packages/controller/src/group/groupRecovery.ts
+++ b/packages/controller/src/group/groupRecovery.ts
@@ -1,21 +1,21 @@
-/** Lets a group go on from one copy where a majority is gone for good, as an operator decides. */
+/** Recovers a group from one copy after the permanent loss of a majority, on operator request. */
 import { decideRecovery } from '@spoolplank/consensus';
 import type { GroupCopy, RecoveryDecision } from '@spoolplank/consensus';
 import type { EventLog, PeerClient, PeerMethod, PeerTarget } from '@spoolplank/node';
 import { SpoolplankError } from '@spoolplank/shared';
 import type { JsonValue } from '@spoolplank/shared';
 
-/** A copy, and what it is good for. */
+/** A copy of the log on one VM. */
 export interface DescribedCopy extends GroupCopy {
   readonly vmId: string;
-  /** What the copy's state machine holds, in a few words: a version, say. */
+  /** Short description of the copy's state machine, such as a version. */
   readonly state: string;
 }
 
-/** What an operator is shown, and what is decided from it. */
+/** The copies that were found and the resulting decision, as shown to an operator. */
 export interface RecoveryReport {
   readonly copies: readonly DescribedCopy[];
-  /** Control VMs that did not answer, or hold no copy. */
+  /** Control VMs that did not respond or have no copy. */
   readonly without: readonly string[];
   readonly decision: RecoveryDecision<DescribedCopy>;
 }
@@ -26,26 +26,26 @@
   readonly vmId: string;
   readonly listOthers: () => readonly string[];
   readonly findTarget: (vmId: string) => PeerTarget | undefined;
-  /** What this VM holds; null while that is nothing. */
+  /** The copy on this VM; null without one. */
   readonly describeCopy: () => DescribedCopy | null;
-  /** Has this VM's replica go on alone, in the next generation. */
-  readonly goOnAlone: () => Promise<void>;
+  /** Restarts this VM's replica as the only voter of the next generation. */
+  readonly restartAsOnlyVoter: () => Promise<void>;
 }
 
 export interface GroupRecovery {
-  /** What other control VMs call here. */
+  /** RPC methods that other control VMs call. */
   readonly methods: Readonly<Record<string, PeerMethod>>;
   report(): Promise<RecoveryReport>;
   /**
-   * Has the group go on from the copy of a replica, which must be the one that the report names.
+   * Recovers the group from the copy of a replica, which must be the one named in the report.
    *
    * @throws SpoolplankError `recovery-refused` with the reason.
    */
   recover(replicaId: string): Promise<RecoveryReport>;
 }
 
-const ASK_TIMEOUT_MS = 1000;
-/** A snapshot is written and synced meanwhile. */
+const INSPECT_TIMEOUT_MS = 1000;
+/** The remote VM writes and syncs a snapshot before it responds. */
 const RECOVER_TIMEOUT_MS = 10_000;
 
 function refuse(detail: string): never {
@@ -53,19 +53,27 @@
 }
 
 export function createGroupRecovery(options: GroupRecoveryOptions): GroupRecovery {
-  const { log, peers, vmId, listOthers, findTarget, describeCopy, goOnAlone } = options;
+  const {
+    log,
+    peers,
+    vmId,
+    listOthers,
+    findTarget,
+    describeCopy,
+    restartAsOnlyVoter: goOnAlone,
+  } = options;
 
-  async function askForCopy(other: string): Promise<DescribedCopy | null> {
+  async function fetchCopy(other: string): Promise<DescribedCopy | null> {
     const target = findTarget(other);
     if (!target) return null;
     return peers
-      .call<DescribedCopy | null>(target, 'group.inspect', {}, ASK_TIMEOUT_MS)
+      .call<DescribedCopy | null>(target, 'group.inspect', {}, INSPECT_TIMEOUT_MS)
       .catch(() => null);
   }
 
   async function report(): Promise<RecoveryReport> {
     const others = listOthers();
-    const answers = await Promise.all(others.map(askForCopy));
+    const answers = await Promise.all(others.map(fetchCopy));
     const copies = [describeCopy(), ...answers].filter((copy) => copy !== null);
     const holders = copies.map((copy) => copy.vmId);
     return {
@@ -75,8 +83,8 @@
     };
   }
 
-  /** Asks everyone again, as the report that an operator saw may be old. */
-  async function assertChosen(replicaId: string): Promise<RecoveryReport> {
+  /** Creates a new report, as the one that the operator saw may be outdated. */
+  async function assertRecoverable(replicaId: string): Promise<RecoveryReport> {
     const current = await report();
     const { decision } = current;
     if (decision.kind === 'refuse') return refuse(decision.reason);
@@ -86,7 +94,7 @@
   }
 
   async function recoverHere(replicaId: string): Promise<void> {
-    const { decision } = await assertChosen(replicaId);
+    const { decision } = await assertRecoverable(replicaId);
     const risk = decision.kind === 'recover' ? decision.risk : '';
     log.warn('group-recovered', { replica: replicaId, risk });
     await goOnAlone();
@@ -104,7 +112,7 @@
     },
     report,
     async recover(replicaId) {
-      const before = await assertChosen(replicaId);
+      const before = await assertRecoverable(replicaId);
       if (describeCopy()?.replicaId === replicaId) {
         await recoverHere(replicaId);
         return before;
--- a/packages/controller/src/group/groupSearch.ts
+++ b/packages/controller/src/group/groupSearch.ts
@@ -1,4 +1,4 @@
-/** How a control VM finds its group: it asks others what they hold, and founds it with the rest. */
+/** Lets a control VM find its group by querying the others, or bootstrap it with other founders. */
 import { decideBootstrap, listVoters, newestGeneration, vmOfReplica } from '@spoolplank/consensus';
 import type {
   Configuration,
@@ -14,33 +14,33 @@
   readonly peers: PeerClient;
   readonly vmId: string;
   readonly replicaId: ReplicaId;
-  /** VMs that found the group when all of them are blank; none where it must exist already. */
+  /** VMs that bootstrap the group when none of them has data; empty when the group must exist. */
   readonly founders: readonly string[];
   readonly storage: ReplicaStorage;
   readonly generation: GroupGeneration;
-  /** Other control VMs known now. */
+  /** The other control VMs that are currently known. */
   readonly listOthers: () => readonly string[];
   readonly findTarget: (vmId: string) => PeerTarget | undefined;
 }
 
 export interface GroupSearch {
-  /** Asks once; whether this replica has its group now. */
+  /** Queries the other VMs once; returns whether this replica has found its group. */
   tryToFind(): Promise<boolean>;
-  /** Other control VMs, with those that others named as voters. */
+  /** Other control VMs, including those that others reported as voters. */
   listOthers(): readonly string[];
-  /** The generation of a group that went on without this replica; null where none is known. */
+  /** The generation of a group that was recovered without this replica; null when unknown. */
   findNewerGeneration(): Promise<number | null>;
 }
 
-const ASK_TIMEOUT_MS = 500;
-/** Place of the founding configuration, before the first elected term. */
-const FOUNDING_PLACE = { index: 1, term: 0 };
+const DESCRIBE_TIMEOUT_MS = 500;
+/** Log position of the bootstrap configuration, before the first elected term. */
+const FOUNDING_POSITION = { index: 1, term: 0 };
 
 export function createGroupSearch(options: GroupSearchOptions): GroupSearch {
   const { log, peers, vmId, replicaId, founders, storage, generation, findTarget } = options;
-  /** VMs of the voters, as others reported; the list of known VMs may have none of them. */
+  /** VMs of the voters that others reported; the list of known VMs may lack them. */
   const knownVoterVms = new Set<string>();
-  let awaitedReason = '';
+  let lastWaitReason = '';
 
   function listOthers(): readonly string[] {
     const all = new Set([...options.listOthers(), ...knownVoterVms]);
@@ -55,7 +55,7 @@
         const target = findTarget(other);
         if (!target) return undefined;
         return peers
-          .call<GroupDescription>(target, 'group.describe', {}, ASK_TIMEOUT_MS)
+          .call<GroupDescription>(target, 'group.describe', {}, DESCRIBE_TIMEOUT_MS)
           .catch(() => undefined);
       }),
     );
@@ -66,13 +66,13 @@
     return descriptions;
   }
 
-  function recordAwaited(reason: string): void {
-    if (reason !== awaitedReason) log.info('group-awaited', { reason });
-    awaitedReason = reason;
+  function logWaitReason(reason: string): void {
+    if (reason !== lastWaitReason) log.info('group-awaited', { reason });
+    lastWaitReason = reason;
   }
 
-  async function found(configuration: Configuration): Promise<void> {
-    await storage.installSnapshot({ ...FOUNDING_PLACE, configuration }, '');
+  async function foundGroup(configuration: Configuration): Promise<void> {
+    await storage.installSnapshot({ ...FOUNDING_POSITION, configuration }, '');
     log.info('group-founded', { voters: configuration.voters });
   }
 
@@ -84,15 +84,15 @@
       const descriptions = await describeOthers(others);
       const decision = decideBootstrap({ self: replicaId, others: descriptions });
       if (decision.kind === 'wait') {
-        recordAwaited(decision.reason);
+        logWaitReason(decision.reason);
         return false;
       }
       if (decision.kind === 'found' && !isFounder) {
-        recordAwaited('no control VM holds a group, and this one is not among those that found it');
+        logWaitReason('no control VM has a group, and this VM is not one of the founders');
         return false;
       }
       if (decision.kind === 'found') {
-        await found(decision.configuration);
+        await foundGroup(decision.configuration);
         return true;
       }
       await generation.advance(newestGeneration(descriptions));
--- a/packages/controller/src/group/groupWatch.ts
+++ b/packages/controller/src/group/groupWatch.ts
@@ -1,55 +1,55 @@
-/** Logs when a replicated log's group loses its quorum and regains it, and who was missing. */
+/** Logs when a replication group loses and regains its quorum, and which voters are silent. */
 import { listReplicas, listVoters, majorityOf, voterSets } from '@spoolplank/consensus';
 import type { ReplicaId, ReplicaStatus, VoteDenial } from '@spoolplank/consensus';
 import type { EventLog, LogFields } from '@spoolplank/node';
 import type { Clock } from '@spoolplank/shared';
 
-/** What a replica believes of its group; for logs, metrics and the dump. */
+/** A group as seen by one of its replicas; for logs, metrics and the dump. */
 export interface GroupSummary {
   readonly replica: ReplicaId;
   readonly role: ReplicaStatus['role'];
   readonly term: number;
   readonly leader: ReplicaId | null;
-  /** Those before an exchange that is under way among them. */
+  /** Includes the outgoing voters of a configuration change in progress. */
   readonly voters: readonly ReplicaId[];
   readonly learners: readonly ReplicaId[];
   readonly standbys: readonly ReplicaId[];
-  /** Index of the log entry that says who the voters are. */
+  /** Index of the log entry that contains the configuration. */
   readonly configurationIndex: number;
-  /** Voters without a message lately; null on a follower, which has messages of its leader only. */
+  /** Voters without a recent message; null on a follower, which only receives from its leader. */
   readonly silentVoters: readonly ReplicaId[] | null;
-  /** How many more voters may fall silent before there is no majority; negative without one. */
+  /** Number of further voters that may fail without loss of the majority; negative without one. */
   readonly tolerableLosses: number | null;
 }
 
 export interface GroupWatchOptions {
   readonly clock: Clock;
   readonly log: Pick<EventLog, 'info' | 'warn'>;
-  /** Longest time without a leader that an ordinary election takes, in milliseconds. */
+  /** Longest duration of an ordinary election, in milliseconds. */
   readonly electionLimitMs: number;
-  /** Silence after which a voter counts as silent, in milliseconds. */
+  /** Time without messages after which a voter counts as silent, in milliseconds. */
   readonly silentAfterMs: number;
-  /** Voters that the group needs for the losses that it has to bear. */
+  /** Number of voters required to tolerate the promised losses. */
   readonly votersWanted: number;
-  /** How long a leader may lead fewer voters before it says so, in milliseconds. */
+  /** Time with fewer voters after which a leader logs a warning, in milliseconds. */
   readonly fewVotersLimitMs: number;
 }
 
 export interface GroupWatch {
-  /** Looks at the replica, and logs what has changed since the last look. */
+  /** Logs what has changed in the replica's status since the last call. */
   observe(status: ReplicaStatus, isConfirmed: boolean): void;
-  /** Time since a leader was last known to be confirmed by a quorum; infinite when never. */
+  /** Time since a quorum was last known to confirm a leader; infinite when it never was. */
   unconfirmedMs(): number;
 }
 
-/** Describes a group as one of its replicas sees it. */
+/** Summarizes a group as seen by one of its replicas. */
 export function summarizeGroup(status: ReplicaStatus, silentAfterMs: number): GroupSummary {
   const { id, role, term, leaderId, configuration, configurationIndex, contactAgesMs } = status;
   const { learners } = configuration;
   const isSilent = (voter: ReplicaId) =>
     voter !== id && (contactAgesMs[voter] ?? Number.POSITIVE_INFINITY) > silentAfterMs;
-  const hearsOthers = role !== 'follower' || leaderId === null;
-  const silentVoters = hearsOthers ? listVoters(configuration).filter(isSilent) : null;
+  const receivesFromVoters = role !== 'follower' || leaderId === null;
+  const silentVoters = receivesFromVoters ? listVoters(configuration).filter(isSilent) : null;
   const countLosses = (voters: readonly ReplicaId[]) =>
     voters.filter((voter) => !isSilent(voter)).length - majorityOf(voters);
   return {
@@ -62,11 +62,13 @@
     standbys: configuration.standbys ?? [],
     configurationIndex,
     silentVoters,
-    tolerableLosses: hearsOthers ? Math.min(...voterSets(configuration).map(countLosses)) : null,
+    tolerableLosses: receivesFromVoters
+      ? Math.min(...voterSets(configuration).map(countLosses))
+      : null,
   };
 }
 
-/** The summary as fields of a log line. */
+/** Selects the fields of a summary that are logged. */
 export function toGroupFields(summary: GroupSummary): LogFields {
   const { role, term, leader, voters, silentVoters, configurationIndex } = summary;
   return {
@@ -79,15 +81,15 @@
   };
 }
 
-/** Creates the watch of one replica. */
+/** Creates the watch for one replica. */
 export function createGroupWatch(options: GroupWatchOptions): GroupWatch {
   const { clock, log, electionLimitMs, silentAfterMs } = options;
   let confirmedAtMs: number | null = null;
   let unconfirmedSinceMs = clock.nowMs();
   let isLost = false;
-  let knownDenial: VoteDenial | null = null;
+  let lastLoggedDenial: VoteDenial | null = null;
   let enoughVotersAtMs = clock.nowMs();
-  let isShort = false;
+  let isBelowTarget = false;
 
   function recordConfirmed(status: ReplicaStatus): void {
     const nowMs = clock.nowMs();
@@ -103,7 +105,7 @@
   }
 
   function recordUnconfirmed(status: ReplicaStatus): void {
-    // One that has yet to be taken in has no quorum to lose.
+    // A replica that has not joined the group yet has no quorum to lose.
     if (!listReplicas(status.configuration).includes(status.id)) return;
     if (isLost || clock.nowMs() - unconfirmedSinceMs <= electionLimitMs) return;
     isLost = true;
@@ -115,18 +117,19 @@
     const nowMs = clock.nowMs();
     if (role !== 'leader' || voters.length >= options.votersWanted) {
       enoughVotersAtMs = nowMs;
-      isShort = false;
-    } else if (!isShort && nowMs - enoughVotersAtMs > options.fewVotersLimitMs) {
-      isShort = true;
+      isBelowTarget = false;
+    } else if (!isBelowTarget && nowMs - enoughVotersAtMs > options.fewVotersLimitMs) {
+      isBelowTarget = true;
       log.warn('voters-missing', { voters, standbys, votersWanted: options.votersWanted });
     }
   }
 
   function recordDenial({ lastDenial }: ReplicaStatus): void {
-    if (lastDenial === null || lastDenial === knownDenial) return;
+    if (lastDenial === null || lastDenial === lastLoggedDenial) return;
     const isRepeated =
-      lastDenial.candidate === knownDenial?.candidate && lastDenial.reason === knownDenial.reason;
-    knownDenial = lastDenial;
+      lastDenial.candidate === lastLoggedDenial?.candidate &&
+      lastDenial.reason === lastLoggedDenial.reason;
+    lastLoggedDenial = lastDenial;
     if (!isRepeated) log.info('vote-denied', { ...lastDenial });
   }
 
--- a/packages/controller/src/group/raftTransport.ts
+++ b/packages/controller/src/group/raftTransport.ts
@@ -1,13 +1,13 @@
-/** Carries messages of the replicated log between control VMs. */
+/** Transport of Raft messages between control VMs. */
 import { vmOfReplica } from '@spoolplank/consensus';
 import type { Message } from '@spoolplank/consensus';
 import type { PeerClient, PeerTarget } from '@spoolplank/node';
 
 export interface RaftTransportOptions {
   readonly peers: PeerClient;
-  /** Where a VM is reached now; undefined while that is not known. */
+  /** The current address of a VM; undefined while unknown. */
   readonly findTarget: (vmId: string) => PeerTarget | undefined;
-  /** Called with each VM that took messages. */
+  /** Called with each VM that accepted messages. */
   readonly onDelivered?: (vmId: string) => void;
 }
 
@@ -15,35 +15,35 @@
   send(message: Message): void;
 }
 
-interface Lane {
+interface SendQueue {
   waiting: Message[];
   isSending: boolean;
 }
 
-/** Messages that may wait for one VM; beyond it the oldest are lost, as the log allows. */
-const MAX_WAITING = 1000;
+/** Queue limit per VM; the oldest messages are dropped beyond it, which the protocol tolerates. */
+const MAX_QUEUED_MESSAGES = 1000;
 
-/** Sends what has gathered for a VM in one request, one request at a time. */
+/** Sends the queued messages of a VM in one request, with one request in flight per VM. */
 export function createRaftTransport({
   peers,
   findTarget,
   onDelivered = () => {},
 }: RaftTransportOptions): RaftTransport {
-  const lanes = new Map<string, Lane>();
+  const queues = new Map<string, SendQueue>();
 
-  function flush(vmId: string, target: PeerTarget, lane: Lane): void {
-    if (lane.isSending || lane.waiting.length === 0) return;
-    const messages = lane.waiting;
-    lane.waiting = [];
-    lane.isSending = true;
+  function flush(vmId: string, target: PeerTarget, queue: SendQueue): void {
+    if (queue.isSending || queue.waiting.length === 0) return;
+    const messages = queue.waiting;
+    queue.waiting = [];
+    queue.isSending = true;
     peers
       .call(target, 'consensus.step', { messages })
       .then(() => onDelivered(vmId))
-      // Lost messages are sent anew by the protocol itself; who is silent shows in its status.
+      // The protocol itself resends lost messages; silent replicas show in its status.
       .catch(() => {})
       .finally(() => {
-        lane.isSending = false;
-        flush(vmId, target, lane);
+        queue.isSending = false;
+        flush(vmId, target, queue);
       });
   }
 
@@ -52,11 +52,11 @@
       const vmId = vmOfReplica(message.to);
       const target = findTarget(vmId);
       if (!target) return;
-      const lane = lanes.get(vmId) ?? { waiting: [], isSending: false };
-      lanes.set(vmId, lane);
-      lane.waiting.push(message);
-      if (lane.waiting.length > MAX_WAITING) lane.waiting.shift();
-      queueMicrotask(() => flush(vmId, target, lane));
+      const queue = queues.get(vmId) ?? { waiting: [], isSending: false };
+      queues.set(vmId, queue);
+      queue.waiting.push(message);
+      if (queue.waiting.length > MAX_QUEUED_MESSAGES) queue.waiting.shift();
+      queueMicrotask(() => flush(vmId, target, queue));
     },
   };
 }
--- a/packages/controller/src/group/renderGroup.ts
+++ b/packages/controller/src/group/renderGroup.ts
@@ -1,4 +1,4 @@
-/** How a control VM sees the group of the replicated log, as text. */
+/** Renders the replication group as seen by a control VM. */
 import { renderTable } from '@spoolplank/shared';
 import type { GroupSummary } from './groupWatch';
 
@@ -8,7 +8,7 @@
   return `bears ${tolerableLosses} more ${tolerableLosses === 1 ? 'loss' : 'losses'}`;
 }
 
-/** Renders a heading and a row for each member. */
+/** Returns a heading and a table with one row per member. */
 export function renderGroup(group: GroupSummary): readonly string[] {
   const { replica, role, term, leader, voters, learners, standbys, silentVoters } = group;
   const states: Readonly<Record<string, readonly string[]>> = {
--- a/packages/controller/src/group/renderRecovery.ts
+++ b/packages/controller/src/group/renderRecovery.ts
@@ -1,4 +1,4 @@
-/** Copies of the control group, and what may be done with them, as text. */
+/** Renders the copies of the control group and the possible recovery. */
 import { renderTable } from '@spoolplank/shared';
 import type { RecoveryReport } from './groupRecovery';
 
@@ -12,7 +12,7 @@
   ];
 }
 
-/** Renders a report; with the name of a replica, what was done. */
+/** Renders a report; with a replica id, renders the result of the recovery from that replica. */
 export function renderRecovery(report: RecoveryReport, replicaId?: string): readonly string[] {
   const rows = report.copies.map((copy) => [
     copy.replicaId,
