--- a/packages/controller/__tests__/backendDirectory.spec.ts
+++ b/packages/controller/__tests__/backendDirectory.spec.ts
@@ -22,7 +22,7 @@
   };
 }
 
-/** A control VM without a disk, before anything else was heard. */
+/** A control VM without a disk and without any facts. */
 async function createNode() {
   const clock = createManualClock(100_000);
   const node = await createControlNode({
@@ -50,10 +50,10 @@
       throw error;
     },
   });
-  const runOf = (incarnation: number) => formatInstanceId({ serverId: 'e1', incarnation });
+  const instanceIdOf = (incarnation: number) => formatInstanceId({ serverId: 'e1', incarnation });
   return {
     node,
-    runOf,
+    instanceIdOf,
     known(): BackendFact {
       const { facts } = node.describe() as unknown as { facts: readonly Fact<SystemFact>[] };
       const body = facts.find(({ key }) => key === FACT_KEYS.backend('e1'))?.body;
@@ -64,27 +64,27 @@
 }
 
 describe('a control VM', () => {
-  it('goes by the later incarnation of a backend server, whatever the earlier one still says', async () => {
-    const { node, runOf, known } = await createNode();
-    node.announce(createEngine({ instanceId: runOf(1) }), 900);
-    node.announce(createEngine({ instanceId: runOf(2) }), 1);
-    node.announce(createEngine({ instanceId: runOf(1) }), 901);
-    assert.equal(known().instanceId, runOf(2));
+  it('keeps the later incarnation of a backend server, whatever the earlier one still sends', async () => {
+    const { node, instanceIdOf, known } = await createNode();
+    node.announce(createEngine({ instanceId: instanceIdOf(1) }), 900);
+    node.announce(createEngine({ instanceId: instanceIdOf(2) }), 1);
+    node.announce(createEngine({ instanceId: instanceIdOf(1) }), 901);
+    assert.equal(known().instanceId, instanceIdOf(2));
     node.withdraw({ serverId: 'e1', incarnation: 1 });
-    assert.deepEqual([known().instanceId, known().state], [runOf(2), 'ready']);
+    assert.deepEqual([known().instanceId, known().state], [instanceIdOf(2), 'ready']);
   });
 
-  it('takes a withdrawal that names no run for a late one while the run is young', async () => {
-    const { node, runOf, known } = await createNode();
-    node.announce(createEngine({ instanceId: runOf(2) }), 3);
+  it('ignores a withdrawal without an incarnation during the first three announcements', async () => {
+    const { node, instanceIdOf, known } = await createNode();
+    node.announce(createEngine({ instanceId: instanceIdOf(2) }), 3);
     node.withdraw({ serverId: 'e1', incarnation: null });
     assert.equal(known().state, 'ready');
-    node.announce(createEngine({ instanceId: runOf(2) }), 4);
+    node.announce(createEngine({ instanceId: instanceIdOf(2) }), 4);
     node.withdraw({ serverId: 'e1', incarnation: null });
     assert.equal(known().state, 'gone');
   });
 
-  it('ends what does not tell its runs apart with the first withdrawal, for good', async () => {
+  it('ends a backend server without incarnations permanently with the first withdrawal', async () => {
     const { node, known } = await createNode();
     node.announce(createEngine(), 1);
     node.withdraw({ serverId: 'e1', incarnation: null });
@@ -93,7 +93,7 @@
   });
 });
 
-describe('an announcement that cannot be true', () => {
+describe('the check of announcements', () => {
   const known = createEngine();
   const problemOf = (stated: BackendFact, before: BackendFact | null = known) =>
     findAnnouncementProblem({ stated, known: before ?? undefined, document: DOCUMENT });
@@ -101,14 +101,14 @@
     engine: { acceleratorKind, held, version: 1 },
   });
 
-  it('is one of layers, a kind or a memory that the document does not have', () => {
+  it('rejects layers, a kind or a memory size that contradict the document', () => {
     assert.notEqual(problemOf(createEngine(engine({ firstLayer: 5, endLayer: 9 }))), null);
     assert.notEqual(problemOf(createEngine(engine({ firstLayer: 0, endLayer: 4 }, 'x'))), null);
     assert.notEqual(problemOf(createEngine({ engine: undefined })), null);
     assert.equal(problemOf(createEngine(engine({ firstLayer: 0, endLayer: 8 }))), null);
   });
 
-  it('is one that contradicts what the same run says', () => {
+  it('rejects a contradiction to an earlier announcement of the same incarnation', () => {
     const others: readonly Partial<BackendFact>[] = [
       { service: 'nobody' },
       { address: '10.0.0.2:80' },
@@ -118,7 +118,7 @@
     assert.equal(problemOf(createEngine({ state: 'draining' })), null);
   });
 
-  it('is believed where the one before did not fit, or nothing is known to go by', () => {
+  it('accepts an announcement after an invalid one, or when there is nothing to compare with', () => {
     const misfit = createEngine({ service: 'nobody' });
     assert.equal(problemOf(createEngine(), misfit), null);
     assert.equal(problemOf(misfit, null), null);
--- a/packages/controller/__tests__/controlNode.spec.ts
+++ b/packages/controller/__tests__/controlNode.spec.ts
@@ -45,7 +45,7 @@
   limits: { maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 };
 
-/** Control VMs of one deployment: the first three are the seeds, the first five have disks. */
+/** Control VMs of one deployment; the first three are seeds, and the first five have disks. */
 async function createDeployment(folder: string) {
   const nodes = new Map<string, ControlNode>();
   const held = new Map<string, LayerRange>();
@@ -108,17 +108,17 @@
   };
 }
 
-/** Until a leader is elected, which takes about a second, a change is refused. */
+/** Retries, as changes are refused until a leader is elected, which takes about a second. */
 async function storeDocument(node: ControlNode | undefined): Promise<void> {
   for (let tries = 0; tries < 10; tries += 1) {
     const result = await node?.replaceDocument({ version: 1, data: 'x' }).catch(() => null);
     if (result) return;
   }
-  assert.fail('no leader took the document');
+  assert.fail('no leader accepted the document');
 }
 
-describe('fifteen control VMs of which three are named in the settings', () => {
-  it('give every engine its layers, whichever of them it announces itself to', async () => {
+describe('fifteen control VMs, three of them seeds in the settings', () => {
+  it('order layers for every engine, whichever of them it announces itself to', async () => {
     const folder = await mkdtemp(join(tmpdir(), 'spoolplank-control-'));
     const { nodes, hosts, held } = await createDeployment(folder);
     try {
--- a/packages/controller/__tests__/controlRestart.spec.ts
+++ b/packages/controller/__tests__/controlRestart.spec.ts
@@ -1,11 +1,9 @@
 /**
- * A control VM that started again never got back what its earlier incarnation had taken in. A fact
- * that was stated once, to that VM, was held by all others; they left it out of their answers,
- * since it bore the host of the asking VM as the one that had heard it first-hand. An entry that
- * started after it and followed it served on without the fact for 9.5 s.
- *
- * What settled it: the entry counted three ends of servers where the others counted four, and the
- * one that it lacked had the restarted VM as its `origin` at all of them.
+ * Guards against a restarted control VM that never recovers the facts its earlier incarnation had
+ * received. All other VMs held such a fact, but omitted it from their replies, because its origin
+ * was the host of the requester. An entry that followed the restarted VM lacked the fact for 9.5 s:
+ * it counted three server crashes instead of four, and the missing one had the restarted VM as its
+ * `origin` on all others.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -19,8 +17,8 @@
 import type { ControlNode } from '../src/controlNode';
 
 const HOSTS = ['vm0', 'vm1', 'vm2'] as const;
-/** All that is stated is known to everybody in touch within so long. */
-const KNOWN_WITHIN_MS = 3000;
+/** Time within which a published fact must reach every connected VM. */
+const CONVERGENCE_LIMIT_MS = 3000;
 const POLL_MS = 50;
 
 function createFact(instanceId: string): FactUpdate<SystemFact> {
@@ -29,7 +27,7 @@
   return { key: FACT_KEYS.crash(body), sequence: 1, ageMs: 0, body };
 }
 
-/** Three control VMs without a disk, that can be ended and started again. */
+/** Three control VMs without a disk that can be stopped and restarted. */
 function createControls() {
   const nodes = new Map<string, ControlNode>();
   const cut = new Set<string>();
@@ -75,7 +73,7 @@
     await node.start();
   }
 
-  /** One exchange of an entry with a control VM; resolves with the keys that it is told. */
+  /** One exchange of an entry with a control VM; resolves with the keys in the reply. */
   async function exchange(
     host: string,
     updates: readonly FactUpdate<SystemFact>[] = [],
@@ -96,9 +94,9 @@
       nodes.delete(host);
       await node?.stop();
     },
-    /** Whether a VM tells of a fact soon enough. */
-    async tells(host: string, key: string): Promise<boolean> {
-      const endsAtMs = SYSTEM_CLOCK.nowMs() + KNOWN_WITHIN_MS;
+    /** Whether a VM delivers a fact within the limit. */
+    async servesFact(host: string, key: string): Promise<boolean> {
+      const endsAtMs = SYSTEM_CLOCK.nowMs() + CONVERGENCE_LIMIT_MS;
       while (SYSTEM_CLOCK.nowMs() < endsAtMs) {
         if ((await exchange(host)).includes(key)) return true;
         await delay(POLL_MS);
@@ -112,51 +110,51 @@
   };
 }
 
-async function play(
-  scene: (controls: ReturnType<typeof createControls>) => Promise<void>,
+async function withControls(
+  runScenario: (controls: ReturnType<typeof createControls>) => Promise<void>,
 ): Promise<void> {
   const controls = createControls();
   try {
     await Promise.all(HOSTS.map((host) => controls.start(host)));
-    await scene(controls);
+    await runScenario(controls);
   } finally {
     await controls.stop();
   }
 }
 
-describe('a fact that is stated once, to one control VM', () => {
+describe('a fact that is published once, to one control VM', () => {
   const fact = createFact('e1');
 
-  it('is known to that VM again when it has started again', async () => {
-    await play(async ({ exchange, tells, end, start }) => {
+  it('is recovered by that VM after its restart', async () => {
+    await withControls(async ({ exchange, servesFact, end, start }) => {
       await exchange('vm0', [fact]);
-      assert.ok(await tells('vm1', fact.key), 'it was passed on');
+      assert.ok(await servesFact('vm1', fact.key), 'the fact was replicated');
       await end('vm0');
       await start('vm0');
-      assert.ok(await tells('vm0', fact.key));
+      assert.ok(await servesFact('vm0', fact.key));
     });
   });
 
-  it('is known to a VM that starts after the one that took it in has started again', async () => {
-    await play(async ({ exchange, tells, end, start }) => {
+  it('is received by a VM that starts after the restart of that VM', async () => {
+    await withControls(async ({ exchange, servesFact, end, start }) => {
       await exchange('vm0', [fact]);
-      assert.ok(await tells('vm1', fact.key), 'it was passed on');
+      assert.ok(await servesFact('vm1', fact.key), 'the fact was replicated');
       await end('vm0');
       await end('vm2');
       await start('vm0');
       await start('vm2');
-      assert.ok(await tells('vm2', fact.key));
+      assert.ok(await servesFact('vm2', fact.key));
     });
   });
 
-  it('is known to the VM that started again though it reaches one other only', async () => {
-    await play(async ({ exchange, tells, end, start, cut }) => {
+  it('is recovered by the restarted VM even if it reaches only one other VM', async () => {
+    await withControls(async ({ exchange, servesFact, end, start, cut }) => {
       await exchange('vm0', [fact]);
-      assert.ok(await tells('vm2', fact.key), 'it was passed on');
+      assert.ok(await servesFact('vm2', fact.key), 'the fact was replicated');
       await end('vm0');
       cut.add('vm0 vm1');
       await start('vm0');
-      assert.ok(await tells('vm0', fact.key));
+      assert.ok(await servesFact('vm0', fact.key));
     });
   });
 });
--- a/packages/controller/__tests__/controlVms.spec.ts
+++ b/packages/controller/__tests__/controlVms.spec.ts
@@ -16,32 +16,32 @@
     seeds: () => ['h1', 'h9'],
     replicas: () => ['h2#disk', 'h8#disk'],
   });
-  const hear = (heard: string, dataCentre = 'a') =>
-    table.put(FACT_KEYS.member(heard, 'run'), clock.nowMs(), {
+  const addMember = (memberHost: string, dataCentre = 'a') =>
+    table.put(FACT_KEYS.member(memberHost, 'run'), clock.nowMs(), {
       kind: 'member',
-      vmId: heard,
+      vmId: memberHost,
       dataCentre,
-      host: heard,
+      host: memberHost,
       role: 'control',
       state: 'ready',
     });
-  return { clock, vms, hear };
+  return { clock, vms, addMember };
 }
 
-describe('the control VMs that one knows of', () => {
-  it('are the seeds, known members, and the voters, each once and without itself', () => {
-    const { vms, hear } = createVms('h1');
-    hear('h2');
-    hear('h3', 'b');
+describe('the control VMs known to a VM', () => {
+  it('are the seeds, live members and voters, each once and without the VM itself', () => {
+    const { vms, addMember } = createVms('h1');
+    addMember('h2');
+    addMember('h3', 'b');
     assert.deepEqual([...vms.listOthers()].sort(), ['h2', 'h3', 'h8', 'h9']);
   });
 
-  it('designate the first of each data centre, and the next one when that is silent', () => {
-    const { clock, vms, hear } = createVms('h2');
+  it('designate the first of each data centre, and the next one when the first is silent', () => {
+    const { clock, vms, addMember } = createVms('h2');
     assert.equal(vms.isDesignated(), true);
-    hear('h0', 'b');
+    addMember('h0', 'b');
     assert.equal(vms.isDesignated(), true);
-    hear('h1');
+    addMember('h1');
     assert.equal(vms.isDesignated(), false);
     clock.advance(5001);
     assert.equal(vms.isDesignated(), true);
--- a/packages/controller/__tests__/documentCalls.spec.ts
+++ b/packages/controller/__tests__/documentCalls.spec.ts
@@ -9,12 +9,12 @@
 
 const DOCUMENT: StoredDocument = { version: 7, data: 'x' };
 
-/** A control VM without a replica before three with one, of which the last one named leads. */
+/** A control VM without a replica that forwards calls to the VMs in `answers`. */
 function createRelay(answers: Readonly<Record<string, () => unknown>>) {
-  const asked: string[] = [];
+  const called: string[] = [];
   const peers: PeerClient = {
     async call<Result>({ vmId }: PeerTarget): Promise<Result> {
-      asked.push(vmId);
+      called.push(vmId);
       return (await answers[vmId]?.()) as Result;
     },
     close() {},
@@ -28,36 +28,36 @@
     findTarget: (vmId) => ({ vmId, host: vmId, port: 1 }),
     listOthers: () => Object.keys(answers),
   });
-  return { asked, calls };
+  return { called, calls };
 }
 
-const namesLeader = (leaderId: string) => () => {
+const redirectTo = (leaderId: string) => () => {
   throw new SpoolplankError('not-leader', { leaderId });
 };
 
 describe('a change at a control VM that holds no replica', () => {
-  it('goes to the VM that is said to lead', async () => {
-    const { asked, calls } = createRelay({
-      a: namesLeader('c'),
-      b: namesLeader('c'),
+  it('is forwarded to the leader that another VM names', async () => {
+    const { called, calls } = createRelay({
+      a: redirectTo('c'),
+      b: redirectTo('c'),
       c: () => ({ status: 'accepted', versionInForce: 7 }),
     });
     const result = await calls.replace(DOCUMENT);
     assert.equal(result.status, 'accepted');
-    assert.deepEqual(asked, ['a', 'c']);
+    assert.deepEqual(called, ['a', 'c']);
   });
 
-  it('goes to the next one when one does not answer, or the leader it named is gone', async () => {
+  it('is forwarded to the next VM when one does not respond or names a leader that is gone', async () => {
     const unreachable = () => {
       throw new SpoolplankError('unreachable');
     };
-    const { asked, calls } = createRelay({
+    const { called, calls } = createRelay({
       a: unreachable,
-      b: namesLeader('a'),
+      b: redirectTo('a'),
       c: () => ({ status: 'accepted', versionInForce: 7 }),
     });
     const result = await calls.replace(DOCUMENT);
     assert.equal(result.status, 'accepted');
-    assert.equal(asked.at(-1), 'c');
+    assert.equal(called.at(-1), 'c');
   });
 });
--- a/packages/controller/__tests__/engineLosses.spec.ts
+++ b/packages/controller/__tests__/engineLosses.spec.ts
@@ -19,8 +19,8 @@
   };
 }
 
-describe('an engine that was lost', () => {
-  it('may come back for some seconds, in its own data centre alone', () => {
+describe('a lost engine', () => {
+  it('is expected to return for some seconds, only in its own data centre', () => {
     const clock = createManualClock();
     const losses = createEngineLosses({ clock });
     const [a1, a2, b1] = [
@@ -37,7 +37,7 @@
     assert.equal(losses.isReturnLikely('a'), false);
   });
 
-  it('is counted for its service, whatever other services there are', () => {
+  it('is recorded for its service, independently of other services', () => {
     const losses = createEngineLosses({ clock: createManualClock() });
     losses.record('engines', [createEngine('a1')]);
     losses.record('others', [createEngine('x1')]);
--- a/packages/controller/__tests__/engineNotices.spec.ts
+++ b/packages/controller/__tests__/engineNotices.spec.ts
@@ -8,13 +8,18 @@
 import { createEngineNotices } from '../src/engineNotices';
 import { guardOrders } from '../src/guardedOrders';
 
-function createSetting() {
+function createFixture() {
   const clock = createManualClock(1000);
   const table = createFactTable<SystemFact>({ clock, instance: 'run', isUrgent: () => false });
   const log = createEventLog({ vmId: 'vm', clock, writeChunk: () => {} });
-  const told: BackoffDirective[] = [];
-  const onBackoff = (directive: BackoffDirective) => told.push(directive);
-  return { clock, table, told, notices: createEngineNotices({ clock, log, table, onBackoff }) };
+  const forwarded: BackoffDirective[] = [];
+  const onBackoff = (directive: BackoffDirective) => forwarded.push(directive);
+  return {
+    clock,
+    table,
+    forwarded,
+    notices: createEngineNotices({ clock, log, table, onBackoff }),
+  };
 }
 
 const NOTICE: ServerNotice = {
@@ -27,10 +32,10 @@
   culpritAddress: null,
 };
 
-describe('what an engine says to a control VM', () => {
-  it('is that it wants no orders for a while', () => {
-    const { clock, notices } = createSetting();
-    notices.take({ ...NOTICE, backoffMs: 2000 });
+describe('the notice of an engine to a control VM', () => {
+  it('starts a backoff for the requested time', () => {
+    const { clock, notices } = createFixture();
+    notices.handle({ ...NOTICE, backoffMs: 2000 });
     assert.equal(notices.isBackingOff('e1'), true);
     assert.equal(notices.isBackingOff('e2'), false);
     clock.advance(2000);
@@ -38,10 +43,10 @@
   });
 
   it('is told to the other process of the VM, and what that one was told is told back to nobody', () => {
-    const { notices, told } = createSetting();
-    notices.take({ ...NOTICE, backoffMs: 2000 });
+    const { notices, forwarded } = createFixture();
+    notices.handle({ ...NOTICE, backoffMs: 2000 });
     notices.recordBackoff({ instanceId: 'e2', backoffMs: 500 });
-    assert.deepEqual(told, [{ instanceId: 'e1', backoffMs: 2000 }]);
+    assert.deepEqual(forwarded, [{ instanceId: 'e1', backoffMs: 2000 }]);
     assert.equal(notices.isBackingOff('e2'), true);
     assert.deepEqual(notices.describe(), [
       { instanceId: 'e1', remainingMs: 2000 },
@@ -49,13 +54,13 @@
     ]);
   });
 
-  it('is that it leaves, which everybody then hears', () => {
-    const { table, notices } = createSetting();
-    notices.take({ ...NOTICE, status: 202, isLeaving: true });
+  it('publishes once that the engine is leaving', () => {
+    const { table, notices } = createFixture();
+    notices.handle({ ...NOTICE, status: 202, isLeaving: true });
     assert.equal(isLeaving(table, 'e1'), true);
     const { revision } = table;
-    notices.take({ ...NOTICE, status: 200, isLeaving: true });
-    assert.equal(table.revision, revision, 'said once');
+    notices.handle({ ...NOTICE, status: 200, isLeaving: true });
+    assert.equal(table.revision, revision, 'published once');
   });
 });
 
@@ -63,8 +68,8 @@
   const ENGINE = { instanceId: 'e1', address: 'e1:80' };
   const ORDER = { firstLayer: 0, endLayer: 4, isPreempting: false, timeoutMs: 100 };
 
-  it('is sent no order and no question by a control VM until its backoff is over', async () => {
-    const { clock, notices } = createSetting();
+  it('is sent neither orders nor polls by a control VM until the backoff is over', async () => {
+    const { clock, notices } = createFixture();
     const sent: string[] = [];
     const orders = guardOrders(
       {
--- a/packages/controller/__tests__/loadSums.spec.ts
+++ b/packages/controller/__tests__/loadSums.spec.ts
@@ -23,40 +23,43 @@
 }
 
 describe('the sum of the loads of entries', () => {
-  it('counts each entry once, by its latest statement', () => {
+  it('counts each entry once, by its latest report', () => {
     const sums = createSums();
-    sums.take([createStatement('h1/e', 2, { head: 5 }), createStatement('h2/e', 1, { head: 1 })]);
-    sums.take([createStatement('h1/e', 1, { head: 9 })]);
+    sums.recordLoads([
+      createStatement('h1/e', 2, { head: 5 }),
+      createStatement('h2/e', 1, { head: 1 }),
+    ]);
+    sums.recordLoads([createStatement('h1/e', 1, { head: 9 })]);
     assert.deepEqual(sums.sum().inFlight, { head: 6 });
   });
 
-  it('forgets an entry that is silent', () => {
+  it('drops an entry that no longer reports', () => {
     const clock = createManualClock();
     const sums = createSums({ clock });
-    sums.take([createStatement('e1', 1, { head: 5 })]);
+    sums.recordLoads([createStatement('e1', 1, { head: 5 })]);
     clock.advance(1001);
     assert.deepEqual(sums.sum().inFlight, {});
   });
 
-  it('does not count an entry twice that has gone over to another control VM', () => {
+  it('does not count an entry that reports to another control VM', () => {
     const moved = new Set<string>();
     const sums = createSums({ isStatedElsewhere: (key) => moved.has(key) });
-    sums.take([createStatement('h1/run', 1, { head: 5 }), createStatement('h2/run', 1, {})]);
+    sums.recordLoads([createStatement('h1/run', 1, { head: 5 }), createStatement('h2/run', 1, {})]);
     moved.add('load/h1/run');
     assert.deepEqual(sums.sum().inFlight, {});
   });
 
-  it('forgets what an earlier incarnation on the same VM had in flight', () => {
+  it('drops the load of an earlier incarnation on the same VM', () => {
     const sums = createSums();
-    sums.take([createStatement('h1/before', 7, { head: 5 })]);
-    sums.take([
+    sums.recordLoads([createStatement('h1/before', 7, { head: 5 })]);
+    sums.recordLoads([
       createStatement('h1/after', 1, { head: 2 }),
       createStatement('h2/x', 1, { head: 1 }),
     ]);
     assert.deepEqual(sums.sum().inFlight, { head: 3 });
   });
 
-  it('returns the other statements', () => {
+  it('returns the other updates', () => {
     const sums = createSums();
     const suspicion: FactUpdate<SystemFact> = {
       key: 'suspicion/e',
@@ -64,6 +67,6 @@
       ageMs: 0,
       body: { kind: 'suspicion', instanceId: 'e' },
     };
-    assert.deepEqual(sums.take([createStatement('e1', 1, {}), suspicion]), [suspicion]);
+    assert.deepEqual(sums.recordLoads([createStatement('e1', 1, {}), suspicion]), [suspicion]);
   });
 });
--- a/packages/controller/__tests__/placementFixtures.ts
+++ b/packages/controller/__tests__/placementFixtures.ts
@@ -1,4 +1,4 @@
-/** A placement loop beside four small engines, in time that a test lets pass. */
+/** A placement loop with four small engines and a simulated clock. */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 import {
   createFactTable,
@@ -16,7 +16,7 @@
 
 const ANNOUNCEMENT_MS = 1200;
 const TICK_MS = 200;
-/** Turns of the event loop in which what a tick began comes to rest. */
+/** Turns of the event loop within which everything that a tick started has settled. */
 const TURNS = 5;
 
 const MODEL: ModelDescription = {
@@ -44,25 +44,25 @@
   limits: { maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 };
 
-/** An order as an engine got it. */
-export interface GivenOrder extends PlaceOrder {
+/** An order as received by an engine. */
+export interface ReceivedOrder extends PlaceOrder {
   readonly instanceId: string;
 }
 
-export interface PlacementSettingOptions {
-  /** What an engine answers to an order. */
-  readonly answer: (order: GivenOrder) => OrderOutcome;
+export interface PlacementFixtureOptions {
+  /** Response of an engine to an order. */
+  readonly answer: (order: ReceivedOrder) => OrderOutcome;
   readonly inspect?: EngineOrders['inspect'];
-  /** Whether an engine asked this VM for a backoff. */
+  /** Whether an engine requested a backoff from this VM. */
   readonly isBackingOff?: (instanceId: string) => boolean;
 }
 
-/** The first engine holds one half of the layers, the three others hold the other half. */
-export function createPlacementSetting({
+/** The first engine holds one half of the layers; the three others hold the other half. */
+export function createPlacementFixture({
   answer,
   inspect,
   isBackingOff = () => false,
-}: PlacementSettingOptions) {
+}: PlacementFixtureOptions) {
   const clock = createManualClock(100_000);
   const table = createFactTable<SystemFact>({ clock, instance: 'run', isUrgent: () => false });
   const held = new Map<string, LayerRange>([
@@ -73,7 +73,7 @@
   ]);
   const ordered: string[] = [];
   const orderedAtMs: number[] = [];
-  const given: GivenOrder[] = [];
+  const receivedOrders: ReceivedOrder[] = [];
   let sequence = 0;
 
   function describeEngine(instanceId: string, state: BackendFact['state']): BackendFact {
@@ -96,7 +96,7 @@
     table.put(FACT_KEYS.backend(instanceId), version, describeEngine(instanceId, 'ready'));
   }
 
-  /** Has an engine say that it is gone, as one does that serves on for a moment. */
+  /** Withdraws an engine, as an engine does that still finishes its streams. */
   function withdraw(instanceId: string): void {
     const { incarnation } = parseInstanceId(instanceId);
     const version = { incarnation, sequence: FINAL_SEQUENCE };
@@ -112,7 +112,7 @@
         const { firstLayer, endLayer } = order;
         ordered.push(instanceId);
         orderedAtMs.push(clock.nowMs());
-        given.push({ ...order, instanceId });
+        receivedOrders.push({ ...order, instanceId });
         const outcome = answer({ ...order, instanceId });
         if (outcome === 'begun') held.set(instanceId, { firstLayer, endLayer });
         return Promise.resolve(outcome);
@@ -135,10 +135,10 @@
     held,
     ordered,
     orderedAtMs,
-    given,
+    receivedOrders,
     announce,
     withdraw,
-    async pass(durationMs: number, announcing: readonly string[]): Promise<void> {
+    async runFor(durationMs: number, announcing: readonly string[]): Promise<void> {
       for (let passedMs = 0; passedMs < durationMs; passedMs += TICK_MS) {
         announcing.forEach(announce);
         clock.advance(TICK_MS);
@@ -149,7 +149,7 @@
   };
 }
 
-/** The instance id of a later incarnation of one of the engines. */
+/** The instance id of a later incarnation of an engine. */
 export function nextIncarnationOf(serverId: string, incarnation = 1): string {
   return formatInstanceId({ serverId, incarnation });
 }
--- a/packages/controller/__tests__/stragglerWatch.spec.ts
+++ b/packages/controller/__tests__/stragglerWatch.spec.ts
@@ -24,7 +24,7 @@
 function createWatch(isDesignated = true) {
   const clock = createManualClock(100_000);
   const table = createFactTable<SystemFact>({ clock, instance: 'run', isUrgent: () => false });
-  const asked: string[] = [];
+  const polled: string[] = [];
   const slowdowns = new Map<string, number>();
   const watch = createStragglerWatch({
     clock,
@@ -32,7 +32,7 @@
     table,
     orders: {
       inspect({ instanceId }) {
-        asked.push(instanceId);
+        polled.push(instanceId);
         const slowdown = slowdowns.get(instanceId);
         return slowdown === undefined
           ? Promise.reject(new Error('gone'))
@@ -44,11 +44,11 @@
   });
   return {
     table,
-    asked,
+    polled,
     slowdowns,
     slowdownOf: (id: string) => readSlowdown(table, id, clock.nowMs()),
     announce: (fact: BackendFact) => table.put(FACT_KEYS.backend(fact.instanceId), 1, fact),
-    async pass(durationMs: number): Promise<void> {
+    async runFor(durationMs: number): Promise<void> {
       for (let passedMs = 0; passedMs < durationMs; passedMs += TICK_MS) {
         clock.advance(TICK_MS);
         watch.tick();
@@ -59,54 +59,54 @@
   };
 }
 
-describe('the watch over the pace of engines', () => {
-  it('states a slow one within two seconds and a tick, and for as long as it is slow', async () => {
-    const { announce, slowdowns, slowdownOf, pass } = createWatch();
+describe('the straggler watch', () => {
+  it('publishes a slow engine within two seconds and a tick, for as long as it is slow', async () => {
+    const { announce, slowdowns, slowdownOf, runFor } = createWatch();
     announce(createEngine('e1'));
     slowdowns.set('e1', 12);
-    await pass(2200);
+    await runFor(2200);
     assert.equal(slowdownOf('e1'), 12);
-    await pass(20_000);
+    await runFor(20_000);
     assert.equal(slowdownOf('e1'), 12);
     slowdowns.set('e1', 1);
-    await pass(2200);
+    await runFor(2200);
     assert.equal(slowdownOf('e1'), 1);
   });
 
-  it('says nothing of one that is as fast as its kind, or that does not answer', async () => {
-    const { announce, slowdowns, table, pass } = createWatch();
+  it('publishes nothing about an engine of usual speed or one that does not respond', async () => {
+    const { announce, slowdowns, table, runFor } = createWatch();
     announce(createEngine('e1'));
     announce(createEngine('e2'));
     slowdowns.set('e1', 1.1);
-    await pass(6000);
+    await runFor(6000);
     assert.equal(table.find(FACT_KEYS.straggler('e1')), undefined);
     assert.equal(table.find(FACT_KEYS.straggler('e2')), undefined);
   });
 
-  it('asks the engines of its own data centre only, each once in two seconds, spread over these', async () => {
-    const { announce, asked, slowdowns, pass } = createWatch();
+  it('polls only engines of its own data centre, each every two seconds, evenly spread', async () => {
+    const { announce, polled, slowdowns, runFor } = createWatch();
     ['e1', 'e2', 'e3', 'e4'].forEach((id) => {
       announce(createEngine(id));
       slowdowns.set(id, 1);
     });
     announce(createEngine('far', 'b'));
-    await pass(600);
-    assert.ok(asked.length < 4);
-    await pass(5400);
-    assert.ok(asked.length >= 8 && asked.length <= 12, `${asked.length} questions`);
-    assert.ok(!asked.includes('far'));
+    await runFor(600);
+    assert.ok(polled.length < 4);
+    await runFor(5400);
+    assert.ok(polled.length >= 8 && polled.length <= 12, `${polled.length} questions`);
+    assert.ok(!polled.includes('far'));
   });
 
-  it('leaves it to the control VM that is designated', async () => {
-    const { announce, asked, pass } = createWatch(false);
+  it('polls no engines on a control VM that is not designated', async () => {
+    const { announce, polled, runFor } = createWatch(false);
     announce(createEngine('e1'));
-    await pass(6000);
-    assert.deepEqual(asked, []);
+    await runFor(6000);
+    assert.deepEqual(polled, []);
   });
 });
 
-describe('a statement that an engine is slow', () => {
-  it('counts no longer when it is not repeated', () => {
+describe('the straggler fact of an engine', () => {
+  it('expires when it is not renewed', () => {
     const clock = createManualClock(100_000);
     const table = createFactTable<SystemFact>({ clock, instance: 'run', isUrgent: () => false });
     table.put(FACT_KEYS.straggler('e1'), 1, { kind: 'straggler', instanceId: 'e1', slowdown: 6 });
--- a/packages/controller/src/announcementCheck.ts
+++ b/packages/controller/src/announcementCheck.ts
@@ -1,13 +1,13 @@
-/** Whether an announcement may take the place of what is known of a backend server. */
+/** Checks whether an announcement may replace the stored state of a backend server. */
 import type { BackendFact } from '@spoolplank/membership';
 import { findMisfit } from '@spoolplank/routing';
 import type { RoutingDocument } from '@spoolplank/routing';
 
-/** What a backend server keeps for as long as one run of it lasts. */
-const LASTING = ['service', 'address', 'dataCentre'] as const;
+/** Fields that do not change within one incarnation of a backend server. */
+const IMMUTABLE_FIELDS = ['service', 'address', 'dataCentre'] as const;
 
 function findContradiction(known: BackendFact, stated: BackendFact): string | null {
-  const changed = LASTING.find((name) => known[name] !== stated[name]);
+  const changed = IMMUTABLE_FIELDS.find((name) => known[name] !== stated[name]);
   if (changed) return `its ${changed} is another one than before`;
   const hasOtherKind = known.engine?.acceleratorKind !== stated.engine?.acceleratorKind;
   return hasOtherKind ? 'its kind of accelerator is another one than before' : null;
@@ -15,17 +15,17 @@
 
 export interface AnnouncementCheckOptions {
   readonly stated: BackendFact;
-  /** What is known of just this run; undefined where nothing is known. */
+  /** The stored state of the same incarnation; undefined without one. */
   readonly known: BackendFact | undefined;
-  /** Null before the first one: then nothing can be held against it. */
+  /** Null before the first document; every announcement is accepted then. */
   readonly document: RoutingDocument | null;
 }
 
 /**
- * Why an announcement is rejected; null when it is accepted. Other writers may use the name of a
- * backend server: an announcement that contradicts the document neither replaces one that fits nor
- * is routed to. An unknown service alone is accepted, as the document that names it may be on its
- * way.
+ * Returns why an announcement is rejected; null when it is accepted. Other processes may announce
+ * themselves under the name of a backend server: an announcement that contradicts the document
+ * neither replaces a valid one nor is routed to. An announcement of an unknown service is accepted,
+ * as the document that defines it may not have arrived yet.
  */
 export function findAnnouncementProblem(options: AnnouncementCheckOptions): string | null {
   const { stated, known, document } = options;
--- a/packages/controller/src/backendDirectory.ts
+++ b/packages/controller/src/backendDirectory.ts
@@ -1,4 +1,4 @@
-/** What backend servers say of themselves to this control VM, as far as it counts. */
+/** Accepts announcements and withdrawals of backend servers on this control VM. */
 import {
   FACT_KEYS,
   FINAL_SEQUENCE,
@@ -13,36 +13,35 @@
 import { SpoolplankError } from '@spoolplank/shared';
 import { findAnnouncementProblem } from './announcementCheck';
 
-/** That a backend server has left. */
+/** Notification that a backend server has left. */
 export interface Withdrawal {
   readonly serverId: string;
-  /** The run that left; null where the call does not say. */
+  /** The incarnation that left; null when the call does not name it. */
   readonly incarnation: number | null;
 }
 
 export interface BackendDirectoryOptions {
   readonly log: EventLog;
   readonly table: FactTable<SystemFact>;
-  /** Null before the first one. */
+  /** Null before the first document. */
   readonly currentDocument: () => RoutingDocument | null;
 }
 
 export interface BackendDirectory {
   /**
-   * Takes in what a backend server says of itself; a late call, or one of an earlier incarnation,
-   * changes nothing.
+   * Stores an announcement. A delayed one, or one of an earlier incarnation, has no effect.
    *
-   * @throws SpoolplankError `bad-request` when it cannot be true; it then changes nothing either.
+   * @throws SpoolplankError `bad-request` when the announcement is rejected; it has no effect then.
    */
   announce(fact: BackendFact, sequence: number): void;
-  /** Takes in that a backend server has left. */
+  /** Marks a backend server as gone. */
   withdraw(withdrawal: Withdrawal): void;
 }
 
 /**
- * A withdrawal without an incarnation may be a late one of an earlier incarnation. Calls arrive up
- * to three intervals late, so it does not end an incarnation that has announced itself no more
- * often.
+ * A withdrawal that names no incarnation may be a delayed one of an earlier incarnation. Calls
+ * arrive up to three announcement intervals late, so such a withdrawal does not end an incarnation
+ * that has sent no more than this number of announcements.
  */
 const LATE_ANNOUNCEMENTS = 3;
 
--- a/packages/controller/src/controlFeeds.ts
+++ b/packages/controller/src/controlFeeds.ts
@@ -1,4 +1,4 @@
-/** Feeds from the other control VMs: facts and the document, each heard as directly as can be. */
+/** Feeds from the other control VMs: facts and the document, each received directly if possible. */
 import type { StoredDocument } from '@spoolplank/control';
 import { createFeedClient } from '@spoolplank/membership';
 import type {
@@ -21,9 +21,9 @@
   readonly documents: DocumentCache<StoredDocument>;
   readonly findTarget: (vmId: string) => PeerTarget;
   /**
-   * What this VM states of itself with each exchange. Control VMs learn of each other from it: one
-   * that the settings do not name, and that is no voter, would else be followed by nobody, and
-   * what backend servers announce to it would stay there.
+   * Facts that this VM publishes with each exchange, by which control VMs discover each other.
+   * Without them, no VM would follow one that is neither a seed nor a voter, and the announcements
+   * of its backend servers would not be replicated.
    */
   readonly statements: () => readonly FactUpdate<SystemFact>[];
   /** Called with a new document. */
@@ -31,12 +31,12 @@
 }
 
 export interface ControlFeeds {
-  /** Follows these VMs and no others. */
+  /** Follows exactly these VMs. */
   follow(hosts: readonly string[]): void;
   stop(): void;
 }
 
-/** An exchange held back this long costs 1.25 exchanges a second and pair of control VMs. */
+/** A hold time that results in 1.25 exchanges per second for each pair of control VMs. */
 export const FEED_WAIT_MS = 800;
 const FEED_TIMEOUT_MS = 1400;
 const RETRY_MS = 300;
@@ -46,18 +46,18 @@
   const clients = new Map<string, FeedClient>();
 
   /**
-   * Incarnations of the control VMs that this VM exchanges facts with, but for one: their facts
-   * need no other way. Hosts would not do, as what an earlier incarnation had received is known
-   * only to others.
+   * Table instances of this VM and of the control VMs that it receives facts from directly, except
+   * `source`. Origins are instances rather than hosts, as facts that an earlier incarnation of a VM
+   * had received are available only from other VMs.
    */
-  function listHeardExcept(source: string): readonly string[] {
-    const heard = [...clients].filter(
+  function listDirectOriginsExcept(source: string): readonly string[] {
+    const connected = [...clients].filter(
       ([other, { isConnected }]) => isConnected && other !== source,
     );
-    return [table.instance, ...heard.map(([, { sourceIncarnation }]) => sourceIncarnation)];
+    return [table.instance, ...connected.map(([, { sourceIncarnation }]) => sourceIncarnation)];
   }
 
-  /** What others left out for a VM that is no longer heard directly is asked for again. */
+  /** Requests again the facts that sources omitted while this VM received them directly. */
   function restartAll(): void {
     clients.forEach((client) => client.restart());
   }
@@ -81,7 +81,7 @@
       onDocument,
       isPassingOn: true,
       onSourceRestart: restartAll,
-      exceptOrigins: () => listHeardExcept(other),
+      exceptOrigins: () => listDirectOriginsExcept(other),
       onState(isConnected, problem) {
         log.info(isConnected ? 'peer-regained' : 'peer-lost', { peer: other, problem });
         if (!isConnected) restartAll();
--- a/packages/controller/src/controlNode.ts
+++ b/packages/controller/src/controlNode.ts
@@ -1,4 +1,4 @@
-/** The role `control` with everything it needs injected: log, directory, feed, placement. */
+/** The role `control` with injected dependencies: log, directory, feed and placement. */
 import { DEFAULT_GROUP_PROMISE, deriveElectionTimings } from '@spoolplank/consensus';
 import type { GroupDescription, GroupPromise } from '@spoolplank/consensus';
 import type { ReplaceResult, StoredDocument } from '@spoolplank/control';
@@ -51,17 +51,17 @@
   readonly host: string;
   readonly peerPort: number;
   readonly dataCentre: string;
-  /** Hosts of the control VMs that found the group at the first start. */
+  /** Hosts of the control VMs that bootstrap the group at the first start. */
   readonly founders: readonly string[];
-  /** Hosts of control VMs, as the settings name them now. */
+  /** Hosts of control VMs in the current settings. */
   readonly seeds: () => readonly string[];
   readonly isFirstStart: boolean;
-  /** Losses that the log's group has to bear; one at a time by default. */
+  /** Losses that the group must tolerate; one at a time by default. */
   readonly promise?: GroupPromise;
-  /** Null on a VM without a disk: it relays, and is no replica. */
+  /** Null on a VM without a disk, which has no replica and only relays. */
   readonly dataFolder: string | null;
   readonly engineOrders: EngineOrders;
-  /** Reads a stored document that was checked before it was stored. */
+  /** Decodes a stored document, which was validated before it was stored. */
   readonly readDocument: (document: StoredDocument) => RoutingDocument;
   readonly announcementMs: number;
   readonly onFatal: (error: SpoolplankError) => void;
@@ -72,55 +72,56 @@
   start(): Promise<void>;
   stop(): Promise<void>;
   /**
-   * Puts a checked document into the log, here or at the leader.
+   * Commits a validated document to the log, locally or through the leader.
    *
-   * @throws SpoolplankError when its outcome is not known, or nobody leads.
+   * @throws SpoolplankError when the outcome is unknown or there is no leader.
    */
   replaceDocument(document: StoredDocument): Promise<ReplaceResult>;
   /**
-   * The document in force, confirmed by a quorum; null when there is none yet.
+   * The document in force, confirmed by a quorum; null without one.
    *
    * @throws SpoolplankError `not-leader` when no quorum confirms it.
    */
   readDocument(): Promise<StoredDocument | null>;
-  /** What this VM's replica believes of the log's group; null where there is none. */
+  /** The group as seen by this VM's replica; null without a replica. */
   groupSummary(): GroupSummary | null;
   /**
-   * Copies of the log, and from which it may go on where a majority is gone for good.
+   * The copies of the log, and the one from which the group can be recovered after the permanent
+   * loss of a majority.
    *
    * @throws SpoolplankError `not-found` on a VM without a replica.
    */
   reportRecovery(): Promise<RecoveryReport>;
   /** @throws SpoolplankError `not-found`, `recovery-refused`. */
   recover(replicaId: string): Promise<RecoveryReport>;
-  /** Registers what is measured of the log's group; nothing where there is no replica. */
+  /** Registers the metrics of the group; none without a replica. */
   registerMetrics(metrics: Metrics): void;
   describe(): JsonValue;
 }
 
-/** What a VM without a replica answers to one that looks for its group. */
-const DISKLESS: GroupDescription = { replicaId: null, configuration: null };
+/** Response of a VM without a replica to a VM that searches for its group. */
+const NO_REPLICA: GroupDescription = { replicaId: null, configuration: null };
 
 const GROUP = 'documents';
-const GROUP_RUNNING = {
-  /** A quarter of a heartbeat: a finer clock only costs wake-ups. */
+const GROUP_RUNNER_OPTIONS = {
+  /** A quarter of the heartbeat interval; shorter ticks only cost wake-ups. */
   tickIntervalMs: 50,
   /** A document of 100 KB is 10 KB compressed: 64 entries and their snapshot stay below 2 MB. */
   snapshotEveryEntries: 64,
   keepEntries: 16,
-  /** Operators move on after a second without an answer. */
+  /** Operators give up after one second without a response. */
   proposalTimeoutMs: 2000,
 };
-/** Facts that change with every statement: they go with the next exchange. */
+/** Facts that change with every update; they are sent with the next periodic exchange. */
 const ROUTINE_FACTS: ReadonlySet<SystemFactKind> = new Set<SystemFactKind>(['load', 'capacity']);
-/** Long enough to distinguish the incarnations of a VM; it is sent with each fact. */
-const RUN_NAME_CHARS = 6;
+/** Long enough to distinguish incarnations of a VM, and short as it is sent with each fact. */
+const RUN_PREFIX_LENGTH = 6;
 const TICK_MS = 200;
-/** Ticks between two statements of this process about itself. */
-const STATEMENT_TICKS = 3;
-/** Ticks between two sums of the entries' loads: half of the time between their statements. */
-const LOAD_TICKS = 2;
-/** An entry states its load every 800 ms; this is the silence after which it counts as lost. */
+/** Ticks between two updates of the member fact of this process. */
+const SELF_PUBLISH_TICKS = 3;
+/** Ticks between two updates of the load fact: half the interval at which entries report. */
+const LOAD_PUBLISH_TICKS = 2;
+/** Entries report their load every 800 ms; one that is silent for this long counts as lost. */
 const LOAD_RETENTION_MS = 2600;
 
 export async function createControlNode(options: ControlNodeOptions): Promise<ControlNode> {
@@ -136,7 +137,7 @@
   let wakeFeed = () => {};
   const table: FactTable<SystemFact> = createFactTable<SystemFact>({
     clock,
-    instance: `${host}/${run.slice(0, RUN_NAME_CHARS)}`,
+    instance: `${host}/${run.slice(0, RUN_PREFIX_LENGTH)}`,
     isUrgent: ({ kind }) => !ROUTINE_FACTS.has(kind),
     onUrgent: () => wakeFeed(),
   });
@@ -181,7 +182,7 @@
       log.info('backoff-undelivered', { ...directive, problem }),
   });
   const notices = createEngineNotices({ clock, log, table, onBackoff: siblingBackoffs.send });
-  options.engineOrders.onNotice(notices.take);
+  options.engineOrders.onNotice(notices.handle);
   siblingBackoffs.onDirective(notices.recordBackoff);
   const engineOrders = guardOrders(options.engineOrders, notices);
   const placement = createPlacementLoop({
@@ -248,26 +249,26 @@
     listOthers: controlVms.listOthers,
   });
 
-  function stateSelf(): void {
+  function publishSelf(): void {
     sequence += 1;
     const { key, body } = describeSelf();
     if (body) table.put(key, sequence, body);
   }
 
-  function stateLoads(): void {
+  function publishLoads(): void {
     table.put(FACT_KEYS.load(host, run), clock.nowMs(), loads.sum());
   }
 
   function tick(): void {
     if (isStopped) return;
     ticks += 1;
-    if (ticks % STATEMENT_TICKS === 1) {
-      stateSelf();
+    if (ticks % SELF_PUBLISH_TICKS === 1) {
+      publishSelf();
       feeds.follow(controlVms.listOthers());
       table.sweep(retentionOf);
       notices.sweep();
     }
-    if (ticks % LOAD_TICKS === 0) stateLoads();
+    if (ticks % LOAD_PUBLISH_TICKS === 0) publishLoads();
     placement.tick();
     stragglerWatch.tick();
     scheduleTimer(tick, TICK_MS);
@@ -276,12 +277,12 @@
   const methods: Readonly<Record<string, PeerMethod>> = {
     'feed.exchange': (params) => {
       const request = params as unknown as FeedRequest<SystemFact>;
-      const updates = loads.take(request.updates);
+      const updates = loads.recordLoads(request.updates);
       return feed.answer({ ...request, updates }) as unknown as Promise<JsonValue>;
     },
     ...documentCalls.methods,
     ...siblingBackoffs.methods,
-    'group.describe': () => DISKLESS as unknown as JsonValue,
+    'group.describe': () => NO_REPLICA as unknown as JsonValue,
   };
 
   if (options.dataFolder !== null) {
@@ -298,7 +299,7 @@
       isFirstStart: options.isFirstStart,
       promise,
       timings: deriveElectionTimings(promise),
-      running: GROUP_RUNNING,
+      running: GROUP_RUNNER_OPTIONS,
       listOthers: controlVms.listOthers,
       findTarget,
       dataCentreOf: controlVms.dataCentreOf,
@@ -326,7 +327,7 @@
     },
     async stop() {
       isStopped = true;
-      stateSelf();
+      publishSelf();
       feeds.stop();
       await group?.stop();
     },
--- a/packages/controller/src/documentCalls.ts
+++ b/packages/controller/src/documentCalls.ts
@@ -1,4 +1,4 @@
-/** Changes and reads of the document, here where this VM leads, and at the leader otherwise. */
+/** Replaces and reads the document, locally on the leader and by forwarding otherwise. */
 import type {
   DocumentState,
   ReplaceDocument,
@@ -14,7 +14,7 @@
 export interface DocumentCallsOptions {
   readonly clock: Clock;
   readonly peers: PeerClient;
-  /** This VM among its peers. */
+  /** Host of this VM. */
   readonly host: string;
   readonly state: DocumentState;
   /** Null on a VM without a replica. */
@@ -24,16 +24,16 @@
 }
 
 export interface DocumentCalls {
-  /** What other control VMs call here. */
+  /** RPC methods that other control VMs call. */
   readonly methods: Readonly<Record<string, PeerMethod>>;
-  /** @throws SpoolplankError when the outcome is not known, or nobody leads. */
+  /** @throws SpoolplankError when the outcome is unknown or there is no leader. */
   replace(document: StoredDocument): Promise<ReplaceResult>;
   /** @throws SpoolplankError `not-leader` when no quorum confirms the document. */
   read(): Promise<StoredDocument | null>;
 }
 
-/** Operators move on after a second: what is not decided by then is answered as unavailable. */
-const DECIDE_MS = 850;
+/** Operators give up after one second; a call that is undecided by then fails as unavailable. */
+const DECISION_TIMEOUT_MS = 850;
 const FORWARD_TIMEOUT_MS = 800;
 const MIN_FORWARD_MS = 50;
 const RETRY_MS = 75;
@@ -50,7 +50,7 @@
     if (!group?.canRead()) throw notLeader();
     const command: ReplaceDocument = { kind: 'document.replace', ...document };
     const known = state.current;
-    // What is in force already needs no place in the log, only a quorum that confirms it.
+    // A document already in force needs no log entry, only a quorum that confirms it.
     if (known && known.version >= document.version) {
       return { status: 'held', versionInForce: known.version };
     }
@@ -62,7 +62,7 @@
     throw notLeader();
   }
 
-  /** Another VM to ask: the leader, or, where this one holds no replica, each of them in turn. */
+  /** The VM to call: the leader, or, without a local replica, each of the others in turn. */
   function findLeader(turn: number): string | undefined {
     const group = options.group();
     if (!group) {
@@ -73,33 +73,33 @@
     return leader === host ? undefined : leader;
   }
 
-  async function atLeader<Result>(
-    here: () => Promise<Result> | Result,
+  async function callLeader<Result>(
+    runLocally: () => Promise<Result> | Result,
     method: string,
     params: unknown,
   ): Promise<Result> {
-    const deadlineMs = clock.nowMs() + DECIDE_MS;
-    let last: SpoolplankError = new SpoolplankError('not-leader');
+    const deadlineMs = clock.nowMs() + DECISION_TIMEOUT_MS;
+    let lastError: SpoolplankError = new SpoolplankError('not-leader');
     let turn = 0;
     while (clock.nowMs() < deadlineMs) {
       try {
-        if (options.group()?.canRead()) return await here();
-        // Who does not lead says who does: most control VMs hold no replica, and know no better.
-        const told = last.leaderId === host ? undefined : last.leaderId;
-        const leader = told ?? findLeader(turn);
-        if (told === undefined) turn += 1;
+        if (options.group()?.canRead()) return await runLocally();
+        // A VM that is not the leader names it; most control VMs have no replica to look it up in.
+        const reportedLeader = lastError.leaderId === host ? undefined : lastError.leaderId;
+        const leader = reportedLeader ?? findLeader(turn);
+        if (reportedLeader === undefined) turn += 1;
         if (leader !== undefined) {
           const leftMs = Math.max(MIN_FORWARD_MS, deadlineMs - clock.nowMs());
           const timeoutMs = Math.min(leftMs, FORWARD_TIMEOUT_MS);
           return await peers.call<Result>(findTarget(leader), method, params, timeoutMs);
         }
       } catch (error) {
-        last = toSpoolplankError(error);
-        if (last.outcome === 'unknown' && last.code !== 'unreachable') throw last;
+        lastError = toSpoolplankError(error);
+        if (lastError.outcome === 'unknown' && lastError.code !== 'unreachable') throw lastError;
       }
       await delay(RETRY_MS);
     }
-    throw last;
+    throw lastError;
   }
 
   return {
@@ -108,7 +108,7 @@
         (await replaceHere(params as unknown as StoredDocument)) as unknown as JsonValue,
       'document.read': () => readHere() as unknown as JsonValue,
     },
-    replace: (document) => atLeader(() => replaceHere(document), 'document.replace', document),
-    read: () => atLeader(readHere, 'document.read', {}),
+    replace: (document) => callLeader(() => replaceHere(document), 'document.replace', document),
+    read: () => callLeader(readHere, 'document.read', {}),
   };
 }
--- a/packages/controller/src/engineCounts.ts
+++ b/packages/controller/src/engineCounts.ts
@@ -1,4 +1,4 @@
-/** How many engines the leader knows: what it lays out is no more than that. */
+/** Logs how many engines the leader knows, as a layout can only use known engines. */
 import type { EventLog } from '@spoolplank/node';
 import type { PlacedEngine } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
@@ -13,7 +13,7 @@
   record(service: string, placed: readonly PlacedEngine[]): void;
 }
 
-/** Least time between two lines, in milliseconds: engines come by the hundred at a start. */
+/** Minimum time between two log lines; at startup, engines appear by the hundred. */
 const LOG_EVERY_MS = 1000;
 
 function countByDataCentre(placed: readonly PlacedEngine[]): readonly string[] {
--- a/packages/controller/src/engineLosses.ts
+++ b/packages/controller/src/engineLosses.ts
@@ -1,40 +1,40 @@
 /**
- * When each data centre last lost an engine.
+ * Records when each data centre last lost an engine.
  *
- * The load pattern it answers: engines crash and come back two to five seconds later, empty. To lay
- * their chain out anew moves the borders of all its engines, which takes it out for four to six
- * seconds; the one that comes back needs one load of its own part.
+ * It handles engines that crash and restart two to five seconds later without any layers. A new
+ * layout of their chain moves the layer boundaries of all its engines and makes the chain
+ * unavailable for four to six seconds; the restarted engine only has to load its own layers.
  */
 import type { PlacedEngine } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
 
 export interface EngineLosses {
-  /** Takes in which engines of a service are there now. */
+  /** Records which engines of a service are serving now. */
   record(service: string, placed: readonly PlacedEngine[]): void;
-  /** Whether a lost engine of the data centre may still come back. */
+  /** Whether the data centre lost an engine so recently that it may still restart. */
   isReturnLikely(dataCentre: string): boolean;
 }
 
-/** Crashes last two to five seconds; the next announcement of the engine comes after that. */
-const RETURN_MS = 6000;
+/** A crashed engine is away for two to five seconds, and then sends its next announcement. */
+const RETURN_WINDOW_MS = 6000;
 
 export function createEngineLosses({ clock }: { readonly clock: Clock }): EngineLosses {
-  const there = new Map<string, ReadonlyMap<string, string>>();
+  const servingByService = new Map<string, ReadonlyMap<string, string>>();
   const lostAtMs = new Map<string, number>();
 
   return {
     record(service, placed) {
-      const now = new Map(
+      const serving = new Map(
         placed.filter(({ isServing }) => isServing).map(({ id, dataCentre }) => [id, dataCentre]),
       );
-      there.get(service)?.forEach((dataCentre, id) => {
-        if (!now.has(id)) lostAtMs.set(dataCentre, clock.nowMs());
+      servingByService.get(service)?.forEach((dataCentre, id) => {
+        if (!serving.has(id)) lostAtMs.set(dataCentre, clock.nowMs());
       });
-      there.set(service, now);
+      servingByService.set(service, serving);
     },
     isReturnLikely(dataCentre) {
       const atMs = lostAtMs.get(dataCentre) ?? Number.NEGATIVE_INFINITY;
-      return clock.nowMs() - atMs < RETURN_MS;
+      return clock.nowMs() - atMs < RETURN_WINDOW_MS;
     },
   };
 }
--- a/packages/controller/src/engineNotices.ts
+++ b/packages/controller/src/engineNotices.ts
@@ -1,4 +1,4 @@
-/** What engines said of themselves to this control VM, with an order's answer or a report. */
+/** Handles notices that engines send to this control VM with responses to orders and reports. */
 import { stateLeaving } from '@spoolplank/membership';
 import type { FactTable, BackoffDirective, ServerNotice, SystemFact } from '@spoolplank/membership';
 import type { EventLog } from '@spoolplank/node';
@@ -9,20 +9,20 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly table: FactTable<SystemFact>;
-  /** Called with each backoff that an engine asks this process for. */
+  /** Called with each backoff that an engine requests from this process. */
   readonly onBackoff: (directive: BackoffDirective) => void;
 }
 
 export interface EngineNotices {
-  /** Takes in what an engine said. */
-  take(notice: ServerNotice): void;
-  /** Takes in a backoff that an engine asked the other process of this VM for. */
+  /** Records the backoff or the leaving state of a notice. */
+  handle(notice: ServerNotice): void;
+  /** Records a backoff that an engine requested from the other process of this VM. */
   recordBackoff(directive: BackoffDirective): void;
-  /** Whether an engine wants nothing from this VM now. */
+  /** Whether an engine has requested a backoff from this VM that is still in effect. */
   isBackingOff(instanceId: string): boolean;
-  /** Forgets what is over. */
+  /** Removes expired backoffs. */
   sweep(): void;
-  /** Engines that back off, and for how much longer. */
+  /** Engines with a backoff in effect, and the remaining time of each. */
   describe(): JsonValue;
 }
 
@@ -31,7 +31,7 @@
   const backoffs = createBackoffTable({ clock });
 
   return {
-    take({ instanceId, address, status, backoffMs, isLeaving }) {
+    handle({ instanceId, address, status, backoffMs, isLeaving }) {
       if (backoffMs !== null) {
         if (backoffs.record(instanceId, backoffMs)) {
           log.info('server-backoff', { instanceId, address, status, backoffMs });
--- a/packages/controller/src/engineOperations.ts
+++ b/packages/controller/src/engineOperations.ts
@@ -1,47 +1,47 @@
-/** What the control plane can do with model engines; a platform or a protocol implements it. */
+/** Operations of the control plane on model engines, implemented by a platform or a protocol. */
 import type { LayerRange, NoticeListener } from '@spoolplank/membership';
 
-/** An engine to speak to. */
+/** Address of an incarnation of an engine. */
 export interface EngineAddress {
   readonly instanceId: string;
   readonly address: string;
 }
 
-/** `refused`: the engine answered that the order does not fit, and nothing has begun. */
+/** `refused`: the engine rejected the order and has started nothing. */
 export type OrderOutcome = 'begun' | 'already-so' | 'refused' | 'unknown';
 
 export interface EngineState {
-  /** The layers that it holds; null when there are none. */
+  /** Loaded layers; null when there are none. */
   readonly held: LayerRange | null;
-  /** How much longer it takes for everything than its kind does. */
+  /** Slowdown relative to other engines of the same kind; 1 is the usual speed. */
   readonly slowdown: number;
-  /** Orders that this run has accepted; left out where the engine does not count them. */
+  /** Orders that this incarnation has accepted; omitted by engines that do not count them. */
   readonly acceptedOrders?: number;
 }
 
 export interface PlaceOrder extends LayerRange {
-  /** Whether requests that run over layers given up are ended rather than waited for. */
+  /** Whether requests that use released layers are aborted rather than drained. */
   readonly isPreempting: boolean;
-  /** How long an answer is waited for, in milliseconds. */
+  /** Timeout of the response, in milliseconds. */
   readonly timeoutMs: number;
   /**
-   * The count of orders that the engine must have accepted so far; with another count it refuses.
+   * Number of orders that the engine must have accepted so far; otherwise it refuses the order.
    * An order that arrives late, or at the next incarnation under the same name, thus has no effect.
    */
   readonly expectedOrders?: number;
 }
 
 export interface EngineOrders {
-  /** Sets who is called with all that engines say of themselves, with any answer. */
+  /** Sets the listener for notices that engines send with any response. */
   onNotice(listener: NoticeListener): void;
-  /** Orders an engine to hold just this range; resolves with what it answered. */
+  /** Orders an engine to hold exactly this range; resolves with its response. */
   place(engine: EngineAddress, order: PlaceOrder): Promise<OrderOutcome>;
   /**
-   * What an engine says of itself now.
+   * Fetches the current state of an engine.
    *
    * @throws SpoolplankError `unreachable`.
    */
   inspect(engine: EngineAddress): Promise<EngineState>;
-  /** Whether a new connection to the address is accepted in time. */
+  /** Whether a new connection to the address is accepted within the timeout. */
   isReachable(address: string, timeoutMs: number): Promise<boolean>;
 }
--- a/packages/controller/src/guardedOrders.ts
+++ b/packages/controller/src/guardedOrders.ts
@@ -1,6 +1,4 @@
-/**
- * The operations with engines, with the last look before anything is sent: whether one backs off.
- */
+/** Engine operations that send nothing to an engine during a backoff that it requested. */
 import { SpoolplankError } from '@spoolplank/shared';
 import type { EngineNotices } from './engineNotices';
 import type { EngineOrders } from './engineOperations';
@@ -11,14 +9,14 @@
 ): EngineOrders {
   return {
     onNotice: (listener) => orders.onNotice(listener),
-    // Nothing has begun, and the engine is left alone for a while, as after a refusal of its own.
+    // Nothing has started, and the caller pauses as it does after a refusal by the engine.
     place: (engine, order) =>
       isBackingOff(engine.instanceId) ? Promise.resolve('refused') : orders.place(engine, order),
     async inspect(engine) {
       if (!isBackingOff(engine.instanceId)) return orders.inspect(engine);
       throw new SpoolplankError('server-closed', { detail: `${engine.address} backs off.` });
     },
-    // A connection over which nothing is sent asks nothing of the engine.
+    // A probe opens a connection without sending a request, which a backoff does not forbid.
     isReachable: (address, timeoutMs) => orders.isReachable(address, timeoutMs),
   };
 }
--- a/packages/controller/src/loadSums.ts
+++ b/packages/controller/src/loadSums.ts
@@ -1,19 +1,19 @@
-/** Loads that entries state, added up so that each control VM passes on one fact for all of its. */
+/** Sums the loads reported by entries, so that each control VM replicates a single load fact. */
 import type { FactUpdate, LoadFact, SystemFact } from '@spoolplank/membership';
 import type { Clock } from '@spoolplank/shared';
 
 export interface LoadSumsOptions {
   readonly clock: Clock;
-  /** An entry that has stated nothing for so long is gone, or states its load elsewhere. */
+  /** Time without a report after which an entry is gone or reports to another control VM. */
   readonly retentionMs: number;
-  /** Whether an entry, by the key of its load, states that to another control VM by now. */
+  /** Whether the entry with this load key reports to another control VM by now. */
   readonly isStatedElsewhere: (key: string) => boolean;
 }
 
 export interface LoadSums {
-  /** Keeps the loads among an entry's statements, and returns the rest. */
-  take(updates: readonly FactUpdate<SystemFact>[]): readonly FactUpdate<SystemFact>[];
-  /** What all entries that state their load here have in flight together. */
+  /** Records the loads among an entry's updates and returns the other updates. */
+  recordLoads(updates: readonly FactUpdate<SystemFact>[]): readonly FactUpdate<SystemFact>[];
+  /** Total requests in flight of all entries that report to this VM. */
   sum(): LoadFact;
 }
 
@@ -23,7 +23,7 @@
   readonly inFlight: LoadFact['inFlight'];
 }
 
-/** A VM runs one entry: the load of an earlier incarnation of it ended with that. */
+/** A VM runs one entry, so a new incarnation replaces the load of the earlier one. */
 function isOfSameVm(a: string, b: string): boolean {
   const vmOf = (key: string) => key.slice(0, key.lastIndexOf('/'));
   return vmOf(a) === vmOf(b);
@@ -40,7 +40,7 @@
   }
 
   return {
-    take(updates) {
+    recordLoads(updates) {
       return updates.filter(({ key, sequence, body }) => {
         if (body?.kind !== 'load') return true;
         const known = loads.get(key);
--- a/packages/controller/src/orderCounts.ts
+++ b/packages/controller/src/orderCounts.ts
@@ -1,21 +1,21 @@
 /**
- * How many orders each engine has accepted, as far as is known. An order names the count that it
- * was decided on: one that arrives late, or at the next incarnation under the same name, does not
- * match and is refused.
+ * Number of orders that each engine has accepted, as far as known. An order names the count on
+ * which it is based: an order that arrives late, or at the next incarnation under the same name,
+ * does not match and is refused.
  *
  * Source: optimistic concurrency control by version number; Kung and Robinson, 1981.
  */
 import type { OrderOutcome } from './engineOperations';
 
 export interface OrderCounts {
-  /** The count of an incarnation of an engine; undefined when it is not known. */
+  /** The count of an incarnation of an engine; undefined when unknown. */
   find(instanceId: string): number | undefined;
   isKnown(instanceId: string): boolean;
-  /** Takes an engine of which nothing is known for one that has accepted no order. */
+  /** Assumes that an engine with an unknown count has accepted no order. */
   assumeNone(instanceId: string): void;
-  /** Records what an engine says of itself; that may be some hundred milliseconds old. */
+  /** Records the count that an engine reports; it may be some hundred milliseconds old. */
   recordReport(instanceId: string, acceptedOrders: number | undefined): void;
-  /** Records what came of an order that was given. */
+  /** Records the outcome of an order. */
   recordOutcome(instanceId: string, outcome: OrderOutcome): void;
 }
 
@@ -30,7 +30,7 @@
     },
     recordReport(instanceId, acceptedOrders) {
       if (acceptedOrders === undefined) return;
-      // Counts of one run only rise: a lower one is an old report.
+      // The count of an incarnation only increases, so a lower one is an outdated report.
       counts.set(instanceId, Math.max(acceptedOrders, counts.get(instanceId) ?? 0));
     },
     recordOutcome(instanceId, outcome) {
--- a/packages/controller/src/pendingOrders.ts
+++ b/packages/controller/src/pendingOrders.ts
@@ -1,4 +1,4 @@
-/** Orders that engines have begun, or may have, until what they hold shows the outcome. */
+/** Orders that engines have or may have started, until their loaded layers show the outcome. */
 import { findBackend, hasRestarted } from '@spoolplank/membership';
 import type { FactTable, LayerRange, SystemFact } from '@spoolplank/membership';
 import type { EventLog } from '@spoolplank/node';
@@ -12,14 +12,14 @@
 
 export interface PendingOrders {
   readonly size: number;
-  /** The range that an engine was ordered to hold; undefined when no order is under way. */
+  /** The range that an engine was ordered to load; undefined without a pending order. */
   find(instanceId: string): LayerRange | undefined;
-  /** Records an order whose outcome must show until `untilMs` on this VM's clock. */
+  /** Records an order that is overdue at `untilMs` on this VM's clock. */
   add(instanceId: string, range: LayerRange, untilMs: number): void;
   remove(instanceId: string): void;
   /**
-   * Forgets the orders whose engine holds the range, those whose time is over, and those whose
-   * engine has started again: its next incarnation knows nothing of the order.
+   * Removes orders that are fulfilled, overdue, or void because the engine has restarted: its next
+   * incarnation has not received the order.
    */
   dropSettled(): void;
   clear(): void;
@@ -37,8 +37,8 @@
 export function createPendingOrders({ clock, log, table }: PendingOrdersOptions): PendingOrders {
   const orders = new Map<string, PendingOrder>();
 
-  /** Why an order is no longer waited for; null while it is. */
-  function findEnd(instanceId: string, { range, untilMs }: PendingOrder): string | null {
+  /** The log event for the end of an order; null while the order is pending. */
+  function findOutcomeEvent(instanceId: string, { range, untilMs }: PendingOrder): string | null {
     if (hasRestarted(table, instanceId)) return 'order-void';
     if (isSameRange(findBackend(table, instanceId)?.body.engine?.held, range)) return 'order-done';
     return clock.nowMs() < untilMs ? null : 'order-overdue';
@@ -55,7 +55,7 @@
     remove: (instanceId) => orders.delete(instanceId),
     dropSettled() {
       orders.forEach((order, instanceId) => {
-        const end = findEnd(instanceId, order);
+        const end = findOutcomeEvent(instanceId, order);
         if (end === null) return;
         orders.delete(instanceId);
         if (end !== 'order-done') log.warn(end, { engine: instanceId, ...order.range });
--- a/packages/controller/src/placementLoop.ts
+++ b/packages/controller/src/placementLoop.ts
@@ -1,4 +1,4 @@
-/** Gives the orders that bring every layer of a model to the engines; see `planPlacement`. */
+/** Orders engines to load layers so that every layer of a model is served; see `planPlacement`. */
 import {
   FACT_KEYS,
   findBackend,
@@ -28,62 +28,74 @@
   readonly log: EventLog;
   readonly table: FactTable<SystemFact>;
   readonly orders: EngineOrders;
-  /** Whether this process may give orders now: it leads and a quorum confirms that. */
+  /** Whether this process may send orders now: it is the leader and a quorum confirms that. */
   readonly mayOrder: () => boolean;
   readonly currentDocument: () => RoutingDocument | null;
-  /** Whether an engine wants nothing from this VM now. */
+  /** Whether an engine has requested a backoff from this VM that is still in effect. */
   readonly isBackingOff: (instanceId: string) => boolean;
   /** Interval at which engines announce themselves. */
   readonly announcementMs: number;
 }
 
 export interface PlacementLoop {
-  /** Lets time pass: gives what orders are due. */
+  /** Sends the orders that are due; called periodically. */
   tick(): void;
 }
 
-/** Whether an engine that others suspect was found unreachable from here too. */
+/** Result of probing an engine that other VMs suspect. */
 interface ProbeResult {
   readonly sequence: number;
   isLost: boolean;
 }
 
 interface OrderTiming {
-  /** Time that the load takes at most. */
+  /** Longest duration of the load. */
   readonly loadMs: number;
-  /** How long the engine's answer is waited for. */
+  /** Timeout of the engine's response. */
   readonly timeoutMs: number;
 }
 
 type EngineRow = Fact<SystemFact> & { readonly body: BackendFact };
 
-/** An engine that withdraws ends what it has under way, which at times takes many seconds. */
-const WITHDRAWN_SERVES_MS = 8000;
-/** Engines announce themselves within two intervals; before that, some may not be known yet. */
+/** A withdrawn engine finishes its streams in flight, which sometimes takes many seconds. */
+const DRAIN_GRACE_MS = 8000;
+/**
+ * Delay of the first orders of a new leader, in announcement intervals. Engines announce themselves
+ * within two intervals; before that, some may still be unknown.
+ */
 const SETTLE_INTERVALS = 1.5;
-/** So long no further engine may have become known before the first layout. */
-const GATHER_INTERVALS = 1.25;
-/** Traffic starts 12 s and more after the machines, and the first loads take a second. */
-const MOST_GATHERING_MS = 5000;
-/** What an order may take beyond the time of its load before it counts as not carried out. */
+/** The first layout waits until no new engine was discovered for this many intervals. */
+const DISCOVERY_QUIET_INTERVALS = 1.25;
+/**
+ * Longest delay of the first layout by discovery. Traffic starts at least 12 s after the VMs, and
+ * the first loads take one second.
+ */
+const MAX_DISCOVERY_MS = 5000;
+/** Time beyond the duration of the load after which an order counts as not executed. */
 const ORDER_MARGIN_MS = 4000;
-/** Longer than a load and the announcement after it: the outcome of the last order is seen. */
+/** Longer than a load and the announcement after it, so the outcome of the last order is known. */
 const IMPROVE_PAUSE_MS = 4000;
-/** Two tries in a row: one lost packet is sent again only after a second. */
-const REACH_TIMEOUTS_MS: readonly number[] = [150, 300];
-/** How often an engine is asked whether it has loaded what it was ordered to. */
+/** Timeouts of two successive probes, as a lost packet is retransmitted only after one second. */
+const PROBE_TIMEOUTS_MS: readonly number[] = [150, 300];
+/** Interval of polling an engine for the completion of a load. */
 const LOAD_POLL_MS = 250;
-/** Engines answer an order before they carry it out, in milliseconds; a packet may be lost. */
+/** Engines acknowledge an order within milliseconds, before executing it; a packet may be lost. */
 const ORDER_TIMEOUT_MS = 400;
-/** The first orders go to all engines at once, from a small VM over as many new connections. */
+/** The first orders go to all engines at once, from a small VM over one new connection each. */
 const FIRST_ORDER_TIMEOUT_MS = 1500;
-/** An engine that refuses is busy with an earlier order, for as long as streams run over it. */
+/**
+ * Pause after a refused order. An engine that refuses is busy with an earlier order until the
+ * streams that use its layers have ended.
+ */
 const REFUSED_PAUSE_MS = 2000;
-/** An engine that takes so many times longer holds up every stream of its chain: it is replaced. */
-const TOO_SLOW = 2.5;
-/** Steps of a sequence between two announcements, for what is known before the next one. */
-const ORDERED_STEP = 0.25;
-const LOADED_STEP = 0.5;
+/** Slowdown from which an engine is replaced, as it delays every stream of its chain. */
+const REPLACEMENT_SLOWDOWN = 2.5;
+/**
+ * Fractions added to the sequence of the last announcement for states that the control VM publishes
+ * before the engine announces them, so that the next announcement supersedes these.
+ */
+const ORDERED_SEQUENCE_STEP = 0.25;
+const LOADED_SEQUENCE_STEP = 0.5;
 
 function intersect(a: LayerRange | null, b: LayerRange): LayerRange | null {
   if (!a) return null;
@@ -101,21 +113,21 @@
   const { clock, log, table, orders, announcementMs } = options;
   const pending = createPendingOrders({ clock, log, table });
   const probeResults = new Map<string, ProbeResult>();
-  const doubtfulUntilMs = new Map<string, number>();
+  const uncertainUntilMs = new Map<string, number>();
   const refusedAtMs = new Map<string, number>();
   const orderedAtMs = new Map<string, number>();
   let orderableSinceMs: number | null = null;
   const counts = createEngineCounts({ clock, log });
   const losses = createEngineLosses({ clock });
   const orderCounts = createOrderCounts();
-  let gathered = { count: 0, atMs: Number.NEGATIVE_INFINITY };
+  let discovered = { count: 0, atMs: Number.NEGATIVE_INFINITY };
 
-  function wasRefusedLately(instanceId: string): boolean {
+  function wasRecentlyRefused(instanceId: string): boolean {
     const atMs = refusedAtMs.get(instanceId) ?? Number.NEGATIVE_INFINITY;
     return clock.nowMs() - atMs < REFUSED_PAUSE_MS;
   }
 
-  /** Looks for itself before it believes that an engine is lost: loads are dear. */
+  /** Whether probes of this VM confirmed a suspicion, as the loads of a replacement are costly. */
   function isConfirmedLost({ body, sequence }: EngineRow): boolean {
     const { instanceId, address } = body;
     const suspicion = table.find(FACT_KEYS.suspicion(instanceId));
@@ -125,7 +137,7 @@
     const result: ProbeResult = { sequence: suspicion.sequence, isLost: false };
     probeResults.set(instanceId, result);
     void (async () => {
-      for (const timeoutMs of REACH_TIMEOUTS_MS) {
+      for (const timeoutMs of PROBE_TIMEOUTS_MS) {
         if (await orders.isReachable(address, timeoutMs)) return;
       }
       result.isLost = true;
@@ -134,7 +146,7 @@
     return false;
   }
 
-  /** Makes known what an engine holds before it announces it. */
+  /** Publishes the layers of an engine before the engine announces them. */
   function publish(instanceId: string, held: LayerRange | null, step: number): void {
     const known = findBackend(table, instanceId);
     if (!known?.body.engine) return;
@@ -143,13 +155,13 @@
     table.put(known.key, { incarnation, sequence: Math.floor(sequence) + step }, body);
   }
 
-  async function readHeld(engine: EngineAddress): Promise<LayerRange | null> {
+  async function fetchHeldLayers(engine: EngineAddress): Promise<LayerRange | null> {
     try {
       const { held, acceptedOrders } = await orders.inspect(engine);
       orderCounts.recordReport(engine.instanceId, acceptedOrders);
       return held;
     } catch (error) {
-      // It may be busy or gone: its announcements, or their end, will show.
+      // The engine may be busy or gone; its announcements, or their absence, will tell.
       log.info('engine-unread', { engine: engine.instanceId, problem: String(error) });
       return null;
     }
@@ -158,9 +170,9 @@
   async function followLoad(engine: EngineAddress, range: LayerRange): Promise<void> {
     while (pending.find(engine.instanceId) === range) {
       await delay(LOAD_POLL_MS);
-      const held = await readHeld(engine);
+      const held = await fetchHeldLayers(engine);
       if (isSameRange(held, range)) {
-        publish(engine.instanceId, held, LOADED_STEP);
+        publish(engine.instanceId, held, LOADED_SEQUENCE_STEP);
         return;
       }
     }
@@ -173,17 +185,17 @@
     const ordered = pending.find(instanceId);
     const range = ordered ?? engine?.held ?? null;
     const isSuspect = isConfirmedLost(row);
-    const isHeard = newestMs - receivedAtMs < lostAfterMs(announcementMs);
-    // One that withdrew is at work for a while on what it has: that must not be broken off.
-    const isThere = state === 'gone' ? nowMs - receivedAtMs < WITHDRAWN_SERVES_MS : isHeard;
-    const isServing = isThere && !isSuspect;
+    const isAnnounced = newestMs - receivedAtMs < lostAfterMs(announcementMs);
+    // A withdrawn engine still serves its streams in flight, which must not be interrupted.
+    const isPresent = state === 'gone' ? nowMs - receivedAtMs < DRAIN_GRACE_MS : isAnnounced;
+    const isServing = isPresent && !isSuspect;
     const slowdown = readSlowdown(table, instanceId, nowMs);
-    const isDoubtful = (doubtfulUntilMs.get(instanceId) ?? 0) > nowMs;
+    const isUncertain = (uncertainUntilMs.get(instanceId) ?? 0) > nowMs;
     const isReady = state === 'ready' && !isLeaving(table, instanceId);
-    const isStaying = isReady && slowdown < TOO_SLOW && !isDoubtful;
-    // A backoff of seconds is no reason to move layers: it only takes no order meanwhile.
-    const mayBeOrdered = !wasRefusedLately(instanceId) && !options.isBackingOff(instanceId);
-    const isReliable = isServing && isStaying;
+    const isRetained = isReady && slowdown < REPLACEMENT_SLOWDOWN && !isUncertain;
+    // A backoff of seconds does not justify moving layers; the engine is only sent no orders.
+    const mayBeOrdered = !wasRecentlyRefused(instanceId) && !options.isBackingOff(instanceId);
+    const isReliable = isServing && isRetained;
     return {
       id: instanceId,
       dataCentre,
@@ -197,16 +209,17 @@
     };
   }
 
-  /** What an engine must have accepted so far for the next order to be carried out. */
+  /** The number of accepted orders that the next order to an engine has to name. */
   async function findExpectedOrders({ body }: EngineRow): Promise<number | undefined> {
     const { instanceId, address, engine } = body;
-    // One that holds nothing has most likely just started; all of them are ordered at once then.
+    // An engine without layers has most likely just started. No request is spent on it, as all
+    // engines are ordered at once at that time.
     if (!engine?.held) orderCounts.assumeNone(instanceId);
-    else if (!orderCounts.isKnown(instanceId)) await readHeld({ instanceId, address });
+    else if (!orderCounts.isKnown(instanceId)) await fetchHeldLayers({ instanceId, address });
     return orderCounts.find(instanceId);
   }
 
-  async function give(
+  async function sendOrder(
     engine: EngineRow,
     order: PlacementOrder,
     timing: OrderTiming,
@@ -230,19 +243,19 @@
       announcedAgeMs: Math.round(clock.nowMs() - engine.receivedAtMs),
     });
     if (outcome === 'unknown') {
-      // It may be carried out at any moment, or never: meanwhile others get what is missing.
-      doubtfulUntilMs.set(instanceId, clock.nowMs() + loadMs + ORDER_MARGIN_MS);
+      // The order may still be executed, or never; until that is known, the layers go to others.
+      uncertainUntilMs.set(instanceId, clock.nowMs() + loadMs + ORDER_MARGIN_MS);
       return;
     }
     if (outcome === 'refused') {
-      await readHeld({ instanceId, address });
-      // Only the count was wrong, as it accepted orders that are not known of here: try again.
+      await fetchHeldLayers({ instanceId, address });
+      // The engine had accepted orders unknown to this VM, so only the count was wrong: retry.
       const isMiscounted = orderCounts.find(instanceId) !== expectedOrders;
       if (!isMiscounted) refusedAtMs.set(instanceId, clock.nowMs());
       pending.remove(instanceId);
       return;
     }
-    publish(instanceId, intersect(engine.body.engine?.held ?? null, range), ORDERED_STEP);
+    publish(instanceId, intersect(engine.body.engine?.held ?? null, range), ORDERED_SEQUENCE_STEP);
     await followLoad({ instanceId, address }, range);
   }
 
@@ -252,34 +265,38 @@
   }
 
   /**
-   * Whether engines are still becoming known: a first layout without some of them has them where
-   * they fit in, rather than in chains that follow each other exactly.
+   * Whether engines are still being discovered. Engines missing from the first layout could later
+   * only fill gaps, instead of forming chains with matching layer boundaries.
    */
-  function isGathering(engines: readonly EngineRow[]): boolean {
+  function isDiscovering(engines: readonly EngineRow[]): boolean {
     const nowMs = clock.nowMs();
-    if (engines.length > gathered.count) gathered = { count: engines.length, atMs: nowMs };
-    const isTimeOver = nowMs - (orderableSinceMs ?? nowMs) > MOST_GATHERING_MS;
-    return !isTimeOver && nowMs - gathered.atMs < GATHER_INTERVALS * announcementMs;
+    if (engines.length > discovered.count) discovered = { count: engines.length, atMs: nowMs };
+    const isTimeOver = nowMs - (orderableSinceMs ?? nowMs) > MAX_DISCOVERY_MS;
+    return !isTimeOver && nowMs - discovered.atMs < DISCOVERY_QUIET_INTERVALS * announcementMs;
   }
 
-  function orderFor(service: string, model: ModelDescription, engines: readonly EngineRow[]): void {
+  function placeLayers(
+    service: string,
+    model: ModelDescription,
+    engines: readonly EngineRow[],
+  ): void {
     pending.dropSettled();
     const newestMs = Math.max(...engines.map(({ receivedAtMs }) => receivedAtMs));
     const placed = engines.map((engine) => toPlaced(engine, newestMs));
     counts.record(service, placed);
     losses.record(service, placed);
-    const room = Math.max(1, model.maxConcurrentLoads) * 2 - pending.size;
+    const freeLoads = Math.max(1, model.maxConcurrentLoads) * 2 - pending.size;
     const isFirst = placed.every(({ firstLayer }) => firstLayer === null);
-    if (isFirst && isGathering(engines)) return;
+    if (isFirst && isDiscovering(engines)) return;
     const mayMove = (dataCentre: string) => !losses.isReturnLikely(dataCentre);
     const plan = planPlacement(placed, model, { mayImprove, mayMove });
-    // The first loads are cheap, and all of them are needed before requests come.
-    plan.slice(0, isFirst ? plan.length : Math.max(0, room)).forEach((order) => {
+    // The first loads are cheap, and all of them have to finish before requests arrive.
+    plan.slice(0, isFirst ? plan.length : Math.max(0, freeLoads)).forEach((order) => {
       const engine = engines.find(({ body }) => body.instanceId === order.id);
       if (!engine) return;
       const loadMs = (model.loadMs * (order.endLayer - order.firstLayer)) / model.layers;
       const timeoutMs = isFirst ? FIRST_ORDER_TIMEOUT_MS : ORDER_TIMEOUT_MS;
-      void give(engine, order, { loadMs: loadMs * 2, timeoutMs });
+      void sendOrder(engine, order, { loadMs: loadMs * 2, timeoutMs });
     });
   }
 
@@ -299,7 +316,7 @@
           .list()
           .filter(isEngineOf(name))
           .filter(({ body }) => findMisfit(body, document) === null);
-        if (model && engines.length > 0) orderFor(name, model, engines);
+        if (model && engines.length > 0) placeLayers(name, model, engines);
       });
     },
   };
--- a/packages/controller/src/settings/controlRole.ts
+++ b/packages/controller/src/settings/controlRole.ts
@@ -1,4 +1,4 @@
-/** The role `control`: one voter of the replicated log and the methods that use it. */
+/** The role `control`: a voter of the replicated log and the RPC methods that use it. */
 import { createControlState, createLogClock } from '@spoolplank/control';
 import type {
   AcceptedChange,
@@ -22,10 +22,10 @@
 import type { ReachReport, SettingsPull, SettingsPullReply } from './settingsService';
 
 const GROUP = 'control';
-/** A VM that is back, or whose disk is new, is in step with the group after so many timeouts. */
+/** A VM that has returned or has a new disk catches up within this many election timeouts. */
 const CATCH_UP_TIMEOUTS = 6;
 
-/** A change as the operator's tool sends it. */
+/** A settings change as sent by the operator's tool. */
 export interface ChangeRequest {
   readonly changeId: string;
   readonly baseVersion: number;
@@ -34,16 +34,19 @@
   readonly note?: string;
 }
 
-/** The answer to a change; a conflict shows what is in force and how it came about. */
+/** The response to a change; a conflict includes the changes made since the base version. */
 export type ChangeReply = ChangeResult & { readonly changesSince?: readonly AcceptedChange[] };
 
 export interface ControlRole {
   readonly methods: Readonly<Record<string, PeerMethod>>;
   start(): Promise<void>;
-  /** Hands the lead over and stops. */
+  /** Transfers leadership and stops. */
   stop(): Promise<void>;
   describe(): JsonValue;
-  /** Copies of the group, and from which it may go on where a majority is gone for good. */
+  /**
+   * The copies of the log, and the one from which the group can be recovered after the permanent
+   * loss of a majority.
+   */
   reportRecovery(): Promise<RecoveryReport>;
   /** @throws SpoolplankError `recovery-refused`. */
   recover(replicaId: string): Promise<RecoveryReport>;
@@ -52,7 +55,7 @@
 export interface ControlRoleOptions {
   readonly context: VmContext;
   readonly dataFolder: string;
-  /** Called when the replica cannot go on; the process should end. */
+  /** Called when the replica cannot continue; the process should exit. */
   readonly onFatal: (error: SpoolplankError) => void;
 }
 
@@ -82,7 +85,7 @@
     dataCentre: settings.vm.dataCentre,
     dataFolder,
     founders: controlVms.map(({ vmId }) => vmId),
-    // Whoever joins a group that was founded by all takes the place of an identity that was lost.
+    // All VMs bootstrapped the group, so a replica that joins later replaces a lost identity.
     isFirstStart: false,
     promise: {
       lossesBorne: Math.floor((controlVms.length - 1) / 2),
@@ -152,12 +155,12 @@
     sinceVersion,
     waitMs,
   }: SettingsPull): Promise<SettingsPullReply> {
-    // Who asked counts it as time that has passed there: it must not be too much.
+    // The requester adds this duration to its own send time, so it must not be overestimated.
     const arrivedAtMs = clock.steadyMs();
     assertCanRead();
     reach.record(reports);
     await waitForVersion(sinceVersion, Math.min(waitMs, timings.settingsLeaseMs / 2));
-    // Checked again: the lead may have been lost during the wait.
+    // Checked again, as leadership may have been lost during the wait.
     assertCanRead();
     return {
       version: state.settings.version,
@@ -186,7 +189,7 @@
     },
     'control.submit': async (params) => {
       const { requests } = params as unknown as { readonly requests: readonly ControlRequest[] };
-      // Proposed together, so that one sync serves all of them.
+      // Proposed together, so that a single disk sync covers all of them.
       return (await Promise.all(requests.map(submit))) as unknown as JsonValue;
     },
     'control.status': () => member.status() as unknown as JsonValue,
--- a/packages/controller/src/settings/settingsService.ts
+++ b/packages/controller/src/settings/settingsService.ts
@@ -1,15 +1,15 @@
-/** The leader's side of the settings: changes, what entries pull, and how far they are. */
+/** Settings on the leader: validation of changes, and the versions that entries have in force. */
 import type { ControlState, SettingsDelta } from '@spoolplank/control';
 import { applyEdits, collectEditFindings, collectTreeFindings } from '@spoolplank/settings';
 import type { Edit } from '@spoolplank/settings';
 import type { Clock, Finding } from '@spoolplank/shared';
 
-/** What an entry VM asks a source of settings. */
+/** Request of an entry VM to a source of settings. */
 export interface SettingsPull {
-  /** Versions in force, of the asking VM and of those that ask it in turn. */
+  /** Versions in force on the requester and on the VMs that pull from it. */
   readonly reports: readonly VersionReport[];
   readonly sinceVersion: number;
-  /** How long the source may wait for something new. */
+  /** How long the source may hold the request until there is a newer version. */
   readonly waitMs: number;
 }
 
@@ -21,11 +21,11 @@
 export interface SettingsPullReply {
   readonly version: number;
   readonly delta: SettingsDelta;
-  /** How long the answer counts as confirmed, from `waitedMs` after the question was sent. */
+  /** How long the reply counts as confirmed, from `waitedMs` after the request was sent. */
   readonly leaseMs: number;
   /**
-   * Time between the arrival of the question and this answer, on the source's clock: the
-   * version was checked at the earliest that long after the question was sent.
+   * Time between the arrival of the request and this reply, on the source's clock: the version was
+   * checked no earlier than this long after the request was sent.
    */
   readonly waitedMs: number;
 }
@@ -34,9 +34,9 @@
 export interface ReachReport {
   readonly version: number;
   readonly reached: readonly string[];
-  /** Confirmed lately, but still at an older version. */
+  /** VMs with a recent report of an older version. */
   readonly pending: readonly string[];
-  /** No contact for a whole lease: they refuse requests, so nothing older is in force there. */
+  /** VMs without contact for a whole lease; as they refuse requests, none has an older version. */
   readonly silent: readonly string[];
 }
 
@@ -65,7 +65,7 @@
       const nowMs = clock.nowMs();
       entryVmIds.forEach((vmId) => {
         const report = seen.get(vmId);
-        // Before a lease has passed, one without contact may have confirmed itself elsewhere.
+        // A VM without contact may have confirmed its version elsewhere within the last lease.
         const lastMs = report?.atMs ?? trackingSinceMs;
         if (report && report.version >= version) reached.push(vmId);
         else if (nowMs - lastMs > leaseMs) silent.push(vmId);
@@ -85,7 +85,7 @@
   };
 }
 
-/** Everything wrong with a change against the tree it is based on. */
+/** Findings of a change, validated against the current settings tree. */
 export function collectChangeFindings(
   state: ControlState,
   edits: readonly Edit[],
--- a/packages/controller/src/stragglerWatch.ts
+++ b/packages/controller/src/stragglerWatch.ts
@@ -1,9 +1,9 @@
 /**
- * Asks the engines of this data centre how fast they are, and states those that are slow.
+ * Polls the engines of this data centre for their slowdown and publishes the stragglers.
  *
- * The load pattern it answers: some engines take six or twelve times as long for some seconds.
- * They announce themselves as ever and accept connections, and every stream whose chain runs over
- * one of them pauses longer than its target allows.
+ * It handles engines that become six or twelve times slower for some seconds. They still announce
+ * themselves and accept connections, but every stream whose chain includes one of them pauses for
+ * longer than its target allows.
  */
 import { FACT_KEYS, readSlowdown } from '@spoolplank/membership';
 import type { BackendFact, FactTable, SystemFact } from '@spoolplank/membership';
@@ -17,23 +17,23 @@
   readonly table: FactTable<SystemFact>;
   readonly orders: Pick<EngineOrders, 'inspect'>;
   readonly dataCentre: string;
-  /** Whether this control VM is the one of its data centre that asks. */
+  /** Whether this control VM is the designated one that polls the engines of its data centre. */
   readonly isDesignated: () => boolean;
 }
 
 export interface StragglerWatch {
-  /** Lets time pass: asks the engines that are due. */
+  /** Polls the engines that are due; called periodically. */
   tick(): void;
 }
 
-/** A question counts like a probe: at two seconds, 40 engines cost 20 a second. */
-const ASK_EVERY_MS = 2000;
-/** Changes smaller than this are not worth a message to every VM. */
-const LEAST_CHANGE = 0.25;
+/** Each poll counts as a probe: with this interval, 40 engines cost 20 probes per second. */
+const POLL_INTERVAL_MS = 2000;
+/** Smaller changes of the slowdown are not published, to save a message to every VM. */
+const MIN_CHANGE = 0.25;
 
 export function createStragglerWatch(options: StragglerWatchOptions): StragglerWatch {
   const { clock, log, table, orders, dataCentre, isDesignated } = options;
-  const askedAtMs = new Map<string, number>();
+  const polledAtMs = new Map<string, number>();
 
   function listEngines(): readonly BackendFact[] {
     return table
@@ -44,14 +44,14 @@
       .filter(({ state, engine }) => state === 'ready' && engine?.held);
   }
 
-  async function ask({ instanceId, address }: BackendFact): Promise<void> {
+  async function poll({ instanceId, address }: BackendFact): Promise<void> {
     try {
       const { slowdown } = await orders.inspect({ instanceId, address });
       const known = readSlowdown(table, instanceId, clock.nowMs());
-      const isChanged = Math.abs(slowdown - known) > LEAST_CHANGE;
+      const isChanged = Math.abs(slowdown - known) > MIN_CHANGE;
       if (isChanged) log.info('engine-slowdown', { instanceId, slowdown, known });
-      // A slow one is stated again each time, so that the statement does not grow old.
-      if (isChanged || slowdown > 1 + LEAST_CHANGE) {
+      // The fact of a slow engine is renewed with each poll, so that it does not expire.
+      if (isChanged || slowdown > 1 + MIN_CHANGE) {
         table.put(FACT_KEYS.straggler(instanceId), clock.nowMs(), {
           kind: 'straggler',
           instanceId,
@@ -59,17 +59,17 @@
         });
       }
     } catch (error) {
-      // Whether it is lost is found out by those whose streams run over it.
+      // Entries whose streams use the engine detect whether it is lost.
       log.info('engine-unread', { engine: instanceId, problem: String(error) });
     }
   }
 
-  /** The first question is spread over the time between two, so that not all are asked at once. */
+  /** The first polls are spread over one interval, so that engines are not all polled at once. */
   function isDue(instanceId: string, index: number, count: number): boolean {
     const nowMs = clock.nowMs();
-    const known = askedAtMs.get(instanceId);
-    if (known !== undefined) return nowMs - known >= ASK_EVERY_MS;
-    askedAtMs.set(instanceId, nowMs - (ASK_EVERY_MS * index) / count);
+    const known = polledAtMs.get(instanceId);
+    if (known !== undefined) return nowMs - known >= POLL_INTERVAL_MS;
+    polledAtMs.set(instanceId, nowMs - (POLL_INTERVAL_MS * index) / count);
     return false;
   }
 
@@ -79,12 +79,12 @@
       const engines = listEngines();
       engines.forEach((engine, index) => {
         if (!isDue(engine.instanceId, index, engines.length)) return;
-        askedAtMs.set(engine.instanceId, clock.nowMs());
-        void ask(engine);
+        polledAtMs.set(engine.instanceId, clock.nowMs());
+        void poll(engine);
       });
       const present = new Set(engines.map(({ instanceId }) => instanceId));
-      askedAtMs.forEach((_, id) => {
-        if (!present.has(id)) askedAtMs.delete(id);
+      polledAtMs.forEach((_, id) => {
+        if (!present.has(id)) polledAtMs.delete(id);
       });
     },
   };
