--- a/packages/controller/__tests__/loadSums.spec.ts
+++ b/packages/controller/__tests__/loadSums.spec.ts
@@ -17,7 +17,7 @@
   return createLoadSums({
     clock: createManualClock(),
     retentionMs: 1000,
-    isStatedElsewhere: () => false,
+    reportsElsewhere: () => false,
     ...options,
   });
 }
@@ -43,7 +43,7 @@
 
   it('does not count an entry that reports to another control VM', () => {
     const moved = new Set<string>();
-    const sums = createSums({ isStatedElsewhere: (key) => moved.has(key) });
+    const sums = createSums({ reportsElsewhere: (key) => moved.has(key) });
     sums.recordLoads([createStatement('h1/run', 1, { head: 5 }), createStatement('h2/run', 1, {})]);
     moved.add('load/h1/run');
     assert.deepEqual(sums.sum().inFlight, {});
--- a/packages/controller/src/controlNode.ts
+++ b/packages/controller/src/controlNode.ts
@@ -158,18 +158,19 @@
   const loads = createLoadSums({
     clock,
     retentionMs: LOAD_RETENTION_MS,
-    isStatedElsewhere: (key) => {
+    reportsElsewhere: (key) => {
       const member = table.find(FACT_KEYS.memberOfLoad(key));
       return member !== undefined && member.origin !== '';
     },
   });
 
-  let decoded: RoutingDocument | null = null;
+  let decodedDocument: RoutingDocument | null = null;
   function currentDocument(): RoutingDocument | null {
     const { current } = documents;
     if (!current) return null;
-    if (decoded?.version !== current.version) decoded = options.readDocument(current);
-    return decoded;
+    if (decodedDocument?.version !== current.version)
+      decodedDocument = options.readDocument(current);
+    return decodedDocument;
   }
 
   const backends = createBackendDirectory({ log, table, currentDocument });
--- a/packages/controller/src/group/groupLoop.ts
+++ b/packages/controller/src/group/groupLoop.ts
@@ -28,7 +28,7 @@
   readonly askOthers: (method: string, request: JoinRequest, onAccepted: () => void) => void;
   /** Checks whether the group was recovered without this replica. */
   readonly checkGeneration: () => Promise<void>;
-  readonly onLeadWon?: () => void;
+  readonly onElected?: () => void;
 }
 
 export interface GroupLoop {
@@ -96,7 +96,7 @@
     if (isLeader === wasLeader) return;
     wasLeader = isLeader;
     log.info(isLeader ? 'lead-won' : 'lead-lost', { term, leader: leaderId });
-    if (isLeader) options.onLeadWon?.();
+    if (isLeader) options.onElected?.();
   }
 
   function checkGenerationAfter(pauseMs: number): void {
--- a/packages/controller/src/group/groupMember.ts
+++ b/packages/controller/src/group/groupMember.ts
@@ -66,7 +66,7 @@
   /** Short description of the state machine, for an operator who compares copies. */
   readonly describeState: () => string;
   readonly onApplied: () => void;
-  readonly onLeadWon?: () => void;
+  readonly onElected?: () => void;
   /** Called when the replica cannot continue; the process should exit. */
   readonly onFatal: (error: SpoolplankError) => void;
 }
@@ -234,7 +234,7 @@
     runner: () => runner,
     askOthers,
     checkGeneration,
-    onLeadWon: options.onLeadWon,
+    onElected: options.onElected,
   });
 
   /** Creates the method by which a member or joining VM sends a request to the leader. */
--- a/packages/controller/src/group/groupRecovery.ts
+++ b/packages/controller/src/group/groupRecovery.ts
@@ -53,15 +53,7 @@
 }
 
 export function createGroupRecovery(options: GroupRecoveryOptions): GroupRecovery {
-  const {
-    log,
-    peers,
-    vmId,
-    listOthers,
-    findTarget,
-    describeCopy,
-    restartAsOnlyVoter: goOnAlone,
-  } = options;
+  const { log, peers, vmId, listOthers, findTarget, describeCopy, restartAsOnlyVoter } = options;
 
   async function fetchCopy(other: string): Promise<DescribedCopy | null> {
     const target = findTarget(other);
@@ -97,7 +89,7 @@
     const { decision } = await assertRecoverable(replicaId);
     const risk = decision.kind === 'recover' ? decision.risk : '';
     log.warn('group-recovered', { replica: replicaId, risk });
-    await goOnAlone();
+    await restartAsOnlyVoter();
   }
 
   return {
--- a/packages/controller/src/loadSums.ts
+++ b/packages/controller/src/loadSums.ts
@@ -7,7 +7,7 @@
   /** Time without a report after which an entry is gone or reports to another control VM. */
   readonly retentionMs: number;
   /** Whether the entry with this load key reports to another control VM by now. */
-  readonly isStatedElsewhere: (key: string) => boolean;
+  readonly reportsElsewhere: (key: string) => boolean;
 }
 
 export interface LoadSums {
@@ -17,7 +17,7 @@
   sum(): LoadFact;
 }
 
-interface StatedLoad {
+interface ReportedLoad {
   readonly sequence: number;
   readonly receivedAtMs: number;
   readonly inFlight: LoadFact['inFlight'];
@@ -30,8 +30,8 @@
 }
 
 export function createLoadSums(options: LoadSumsOptions): LoadSums {
-  const { clock, retentionMs, isStatedElsewhere } = options;
-  const loads = new Map<string, StatedLoad>();
+  const { clock, retentionMs, reportsElsewhere } = options;
+  const loads = new Map<string, ReportedLoad>();
 
   function dropEarlierIncarnations(key: string): void {
     loads.forEach((_, other) => {
@@ -55,7 +55,7 @@
       const oldestMs = clock.nowMs() - retentionMs;
       const inFlight: Record<string, number> = {};
       loads.forEach((load, key) => {
-        if (load.receivedAtMs < oldestMs || isStatedElsewhere(key)) {
+        if (load.receivedAtMs < oldestMs || reportsElsewhere(key)) {
           loads.delete(key);
           return;
         }
--- a/packages/controller/src/settings/controlRole.ts
+++ b/packages/controller/src/settings/controlRole.ts
@@ -107,7 +107,7 @@
       versionWaiters = [];
       waiting.forEach((resolve) => resolve());
     },
-    onLeadWon: () => reach.forget(),
+    onElected: () => reach.forget(),
     onFatal,
   });
   registerGroupMetrics(metrics, member);
--- a/packages/membership/__tests__/directory.spec.ts
+++ b/packages/membership/__tests__/directory.spec.ts
@@ -34,10 +34,10 @@
   { clock, registrar, entry }: ReturnType<typeof createFixture>,
   answeredAfterMs = 0,
 ): void {
-  const askedAtMs = clock.nowMs();
+  const requestedAtMs = clock.nowMs();
   const delta = registrar.deltaSince('', 0);
   clock.advance(answeredAfterMs);
-  entry.merge(delta, askedAtMs);
+  entry.merge(delta, requestedAtMs);
 }
 
 describe('directory', () => {
--- a/packages/membership/__tests__/siblingBackoffs.spec.ts
+++ b/packages/membership/__tests__/siblingBackoffs.spec.ts
@@ -11,7 +11,7 @@
   return { kind: 'member', vmId: host, dataCentre: 'a', host, role, peerPort, state: 'ready' };
 }
 
-function createFixture({ isThere: isReachable = true }: { readonly isThere?: boolean } = {}) {
+function createFixture({ isReachable = true }: { readonly isReachable?: boolean } = {}) {
   const clock = createManualClock();
   const table = createFactTable<SystemFact>({ clock, instance: 'run', isUrgent: () => false });
   const calls: { readonly port: number; readonly method: string; readonly params: JsonValue }[] =
@@ -32,8 +32,8 @@
   return {
     backoffs,
     calls,
-    words: received,
-    untold: undelivered,
+    received,
+    undelivered,
     join(member: MemberFact, run = 'run'): void {
       clock.advance(1);
       table.put(FACT_KEYS.member(member.host, run), 1, member);
@@ -64,21 +64,21 @@
   });
 
   it('is applied by the other process through the method that is called', () => {
-    const { backoffs, calls, words, join } = createFixture();
+    const { backoffs, calls, received, join } = createFixture();
     join(createMember('vm1', 'control', 2));
     backoffs.send(DIRECTIVE);
     const [call] = calls;
     backoffs.methods[call?.method ?? '']?.(call?.params ?? null);
-    assert.deepEqual(words, [DIRECTIVE]);
+    assert.deepEqual(received, [DIRECTIVE]);
   });
 
   it('is reported as undelivered when the other process does not answer', async () => {
-    const { backoffs, untold, join } = createFixture({ isThere: false });
+    const { backoffs, undelivered, join } = createFixture({ isReachable: false });
     join(createMember('vm1', 'control', 2));
     backoffs.send(DIRECTIVE);
     await new Promise((resolve) => {
       setImmediate(resolve);
     });
-    assert.deepEqual(untold, [DIRECTIVE]);
+    assert.deepEqual(undelivered, [DIRECTIVE]);
   });
 });
--- a/packages/membership/src/feedServer.ts
+++ b/packages/membership/src/feedServer.ts
@@ -49,7 +49,7 @@
     table,
     documents,
     schedule,
-    batchIntervalMs: gatherMs = DEFAULT_BATCH_INTERVAL_MS,
+    batchIntervalMs = DEFAULT_BATCH_INTERVAL_MS,
   } = options;
   let heldRequests: HeldRequest<Body>[] = [];
   let lastFlushAtMs = Number.NEGATIVE_INFINITY;
@@ -105,12 +105,12 @@
     wake() {
       if (isFlushScheduled) return;
       const sinceMs = clock.nowMs() - lastFlushAtMs;
-      if (sinceMs >= gatherMs) {
+      if (sinceMs >= batchIntervalMs) {
         flush();
         return;
       }
       isFlushScheduled = true;
-      schedule(flush, gatherMs - sinceMs);
+      schedule(flush, batchIntervalMs - sinceMs);
     },
   };
 }
