--- a/packages/control/__tests__/controlState.spec.ts
+++ b/packages/control/__tests__/controlState.spec.ts
@@ -7,14 +7,14 @@
 import { claim, createControlFixture, settingsChange } from './fixtures';
 
 describe('settings state', () => {
-  it('accepts one of two changes based on one version, and shows the other what is in force', () => {
+  it('accepts one of two changes based on the same version and returns the current version to the other', () => {
     const { submit, state } = createControlFixture();
     assert.deepEqual(submit(settingsChange('a', 0, 3)), { status: 'accepted', version: 1 });
     assert.deepEqual(submit(settingsChange('b', 0, 4)), { status: 'conflict', version: 1 });
     assert.equal(state.settings.tree.policy?.priority, 3);
   });
 
-  it('answers a resent change as the first time, also after a snapshot', () => {
+  it('returns the original result for a retried change, also after a snapshot', () => {
     const first = createControlFixture();
     first.submit(settingsChange('a', 0));
     first.submit(settingsChange('b', 1));
@@ -22,16 +22,16 @@
     const second = createControlFixture();
     second.state.restore(first.state.takeSnapshot());
     assert.deepEqual(second.submit(settingsChange('a', 0)), { status: 'accepted', version: 1 });
-    assert.equal(second.state.settings.version, 2, 'it was not applied again');
+    assert.equal(second.state.settings.version, 2, 'the change was not applied a second time');
   });
 
-  it('refuses another change under a change id that was used', () => {
+  it('refuses a different change with a used change id', () => {
     const { submit } = createControlFixture();
     submit(settingsChange('a', 0, 3));
     assert.equal(submit(settingsChange('a', 0, 4)).status, 'reused');
   });
 
-  it('brings a reader from any version to the newest, by changes or by the tree', () => {
+  it('updates a reader from any version to the newest, by changes or by the whole tree', () => {
     const state = createSettingsState({ maxHistory: 10 });
     for (let version = 0; version < 40; version += 1) {
       state.apply({
@@ -39,8 +39,8 @@
         logTimeMs: 0,
       } as Parameters<typeof state.apply>[0]);
     }
-    const near = state.deltaSince(35);
-    assert.equal(near.kind === 'changes' && near.changes.length, 5);
+    const recent = state.deltaSince(35);
+    assert.equal(recent.kind === 'changes' && recent.changes.length, 5);
     assert.equal(state.deltaSince(3).kind, 'tree');
     assert.deepEqual(state.deltaSince(40), { kind: 'changes', changes: [] });
   });
@@ -54,7 +54,7 @@
     durationMs: 1000,
   });
 
-  it('are not granted before the old one has run out', () => {
+  it('are not granted to another holder before they expire', () => {
     const { submit, clock } = createControlFixture();
     assert.deepEqual(submit(acquire('a')), { status: 'granted', fencingNumber: 1 });
     clock.advance(999);
@@ -81,7 +81,7 @@
 });
 
 describe('log clock', () => {
-  it('does not follow the wall clock, and never runs ahead of the time that passed', () => {
+  it('ignores wall-clock jumps and never runs ahead of elapsed time', () => {
     const clock = createManualClock();
     const logClock = createLogClock(clock);
     logClock.observe(5000);
@@ -98,10 +98,10 @@
     const { submit } = createControlFixture();
     assert.equal(submit(claim('a')).status, 'granted');
     assert.equal(submit(claim('b')).status, 'held');
-    assert.equal(submit(claim('a')).status, 'granted', 'the owner lost the answer and asks again');
+    assert.equal(submit(claim('a')).status, 'granted', 'the owner retries after losing the reply');
   });
 
-  it('give the stored answer to whoever asks after they were settled', () => {
+  it('return the stored answer to later requests once they are settled', () => {
     const { submit } = createControlFixture();
     submit(claim('a'));
     const answer = { status: 200, contentType: 'text/plain', bodyBase64: 'aGk=' };
@@ -122,7 +122,7 @@
     assert.equal(submit(claim('b', 'k', 'other')).status, 'mismatch');
   });
 
-  it('can be given back by their owner alone', () => {
+  it('can be released by their owner only', () => {
     const { submit } = createControlFixture();
     submit(claim('a'));
     assert.equal(
@@ -136,17 +136,17 @@
     assert.equal(submit(claim('b')).status, 'granted');
   });
 
-  it('are refused, not forgotten, when the store is full', () => {
+  it('are refused, never evicted, when the store is full', () => {
     const { submit, clock } = createControlFixture(2);
     submit(claim('a', 'k1'));
     submit(claim('a', 'k2'));
     assert.equal(submit(claim('a', 'k3')).status, 'full');
     assert.equal(submit(claim('b', 'k1')).status, 'held');
     clock.advance(80_000);
-    assert.equal(submit(claim('a', 'k3')).status, 'granted', 'expired ones make room');
+    assert.equal(submit(claim('a', 'k3')).status, 'granted', 'expired claims no longer count');
   });
 
-  it('are granted once for each key in any order of commands, snapshots between them', () => {
+  it('are granted to one owner per key for any sequence of commands and snapshots', () => {
     const command = fc.record({
       kind: fc.constantFrom('acquire', 'settle', 'void', 'snapshot', 'wait'),
       owner: fc.constantFrom('a', 'b', 'c'),
@@ -155,7 +155,7 @@
     fc.assert(
       fc.property(fc.array(command, { maxLength: 40 }), (commands) => {
         let fixture = createControlFixture();
-        /** Who may send the request of a key; a grant must find the key free or its own. */
+        /** Owner of each key; a grant requires that the key is free or has the same owner. */
         const holders = new Map<string, string>();
         commands.forEach(({ kind, owner, key }) => {
           const identity = { organisation: 'o', key, owner };
@@ -172,7 +172,7 @@
           } else if (fixture.submit(claim(owner, key)).status === 'granted') {
             assert.ok(
               (holders.get(key) ?? owner) === owner,
-              `${key} was granted to ${owner} as well`,
+              `${key} was granted to ${owner} while another owner holds it`,
             );
             holders.set(key, owner);
           }
--- a/packages/control/__tests__/documentState.spec.ts
+++ b/packages/control/__tests__/documentState.spec.ts
@@ -7,7 +7,7 @@
   return state.apply({ kind: 'document.replace', version, data });
 }
 
-describe('a document numbered by its senders', () => {
+describe('a document with versions assigned by its senders', () => {
   it('is replaced by a higher version only', () => {
     const state = createDocumentState();
     assert.deepEqual(replace(state, 3, 'three'), { status: 'accepted', versionInForce: 3 });
@@ -15,14 +15,14 @@
     assert.equal(state.current?.data, 'three');
   });
 
-  it('keeps its content when other content comes under its number', () => {
+  it('keeps its content when different content arrives with the same version', () => {
     const state = createDocumentState();
     replace(state, 3, 'three');
     assert.deepEqual(replace(state, 3, 'other'), { status: 'held', versionInForce: 3 });
     assert.equal(state.current?.data, 'three');
   });
 
-  it('is the same after a snapshot, also a blank one', () => {
+  it('is restored from a snapshot, also from an empty one', () => {
     const state = createDocumentState();
     const blank = createDocumentState();
     blank.restore(state.takeSnapshot());
--- a/packages/control/__tests__/fixtures.ts
+++ b/packages/control/__tests__/fixtures.ts
@@ -6,7 +6,7 @@
 export interface ControlFixture {
   readonly clock: ManualClock;
   readonly state: ControlState;
-  /** Applies a command, stamped as a leader would. */
+  /** Applies a command with the log time that a leader would assign. */
   submit(request: ControlRequest): ControlResult;
 }
 
--- a/packages/control/src/claimState.ts
+++ b/packages/control/src/claimState.ts
@@ -8,7 +8,7 @@
 } from './commands';
 
 interface ClaimRecord {
-  /** Organisation and key, joined. */
+  /** Organisation and key, joined by a line feed. */
   readonly id: string;
   readonly requestDigest: string;
   readonly owner: string;
@@ -22,7 +22,7 @@
 }
 
 export interface ClaimStateOptions {
-  /** A claim beyond this number is refused; one that was made is never dropped early. */
+  /** Claims beyond this number are refused; a claim is never evicted before it expires. */
   readonly maxClaims?: number;
 }
 
@@ -49,14 +49,14 @@
 }
 
 /**
- * Who may run a request that must not run twice. A key is granted to one owner, once; only
- * an owner that has sent nothing may give it back.
+ * Records which owner may execute a request that must not be executed twice. A key is granted to
+ * one owner only. The owner may release the claim only if it has sent nothing to a backend server.
  */
 export function createClaimState({
   maxClaims = DEFAULT_MAX_CLAIMS,
 }: ClaimStateOptions = {}): ClaimState {
   let claims = new Map<string, ClaimRecord>();
-  /** Ids by the time slice in which they expire, so that expiry costs nothing per command. */
+  /** Claim ids by the time bucket in which they expire, so that expiry does not scan all claims. */
   let buckets = new Map<number, string[]>();
   let nextBucket = 0;
 
@@ -83,10 +83,13 @@
       });
   }
 
-  function describeKnown(known: ClaimRecord, { owner, requestDigest }: AcquireClaim): ClaimResult {
+  function resultForExisting(
+    known: ClaimRecord,
+    { owner, requestDigest }: AcquireClaim,
+  ): ClaimResult {
     if (known.requestDigest !== requestDigest) return { status: 'mismatch' };
     if (known.outcome) return { status: 'settled', outcome: known.outcome, answer: known.answer };
-    // The same owner asks again only because it lost the answer; it has sent nothing yet.
+    // An owner repeats the request only if the reply was lost; it has sent nothing yet.
     return known.owner === owner ? { status: 'granted' } : { status: 'held' };
   }
 
@@ -99,7 +102,7 @@
       expire(logTimeMs);
       const id = claimId(command);
       const known = claims.get(id);
-      if (known) return describeKnown(known, command);
+      if (known) return resultForExisting(known, command);
       if (claims.size >= maxClaims) return { status: 'full' };
       put({
         id,
--- a/packages/control/src/commands.ts
+++ b/packages/control/src/commands.ts
@@ -1,52 +1,52 @@
 import type { Edit } from '@spoolplank/settings';
 import type { Outcome } from '@spoolplank/shared';
 
-/** Every command carries the log's own time, stamped by the leader; see `logClock`. */
-interface Stamped {
+/** Every command carries a log time, assigned by the leader; see `LogClock`. */
+interface Timestamped {
   readonly logTimeMs: number;
 }
 
-export interface ChangeSettings extends Stamped {
+export interface ChangeSettings extends Timestamped {
   readonly kind: 'settings.change';
-  /** Chosen by the operator's tool; a resend carries the same one. */
+  /** Chosen by the operator's tool; a retry carries the same id. */
   readonly changeId: string;
-  /** The version the operator looked at; 0 before the first change. */
+  /** The version on which the edits are based; 0 before the first change. */
   readonly baseVersion: number;
   readonly edits: readonly Edit[];
   readonly author: string;
-  /** For people to read. */
+  /** Wall-clock time, for display only. */
   readonly wallMs: number;
   readonly note?: string;
 }
 
-export interface AcquireLease extends Stamped {
+export interface AcquireLease extends Timestamped {
   readonly kind: 'lease.acquire';
   readonly name: string;
   readonly holder: string;
   readonly durationMs: number;
 }
 
-export interface ReleaseLease extends Stamped {
+export interface ReleaseLease extends Timestamped {
   readonly kind: 'lease.release';
   readonly name: string;
   readonly holder: string;
 }
 
-export interface AcquireClaim extends Stamped {
+export interface AcquireClaim extends Timestamped {
   readonly kind: 'claim.acquire';
   readonly organisation: string;
   readonly key: string;
-  /** Digest of the request, so that a key is not used for two different ones. */
+  /** Digest of the request; detects the reuse of a key for a different request. */
   readonly requestDigest: string;
-  /** The one execution that may send the request: an entry VM's request id. */
+  /** The execution that may send the request, identified by an entry VM's request id. */
   readonly owner: string;
   readonly retentionMs: number;
 }
 
-/** How a claimed request ended. */
+/** How the execution of a claimed request ended. */
 export type ClaimOutcome = 'done' | 'failed' | 'unknown';
 
-/** The answer of a backend server, kept to be given again. */
+/** The response of a backend server, stored so that retries receive the same response. */
 export interface StoredAnswer {
   readonly status: number;
   readonly contentType: string;
@@ -54,7 +54,7 @@
   readonly bodyBase64: string;
 }
 
-export interface SettleClaim extends Stamped {
+export interface SettleClaim extends Timestamped {
   readonly kind: 'claim.settle';
   readonly organisation: string;
   readonly key: string;
@@ -63,8 +63,8 @@
   readonly answer: StoredAnswer | null;
 }
 
-/** Gives a claim back; only before any byte was sent to a backend server. */
-export interface VoidClaim extends Stamped {
+/** Releases a claim; allowed only before any byte has been sent to a backend server. */
+export interface VoidClaim extends Timestamped {
   readonly kind: 'claim.void';
   readonly organisation: string;
   readonly key: string;
@@ -74,10 +74,10 @@
 export type ControlCommand =
   ChangeSettings | AcquireLease | ReleaseLease | AcquireClaim | SettleClaim | VoidClaim;
 
-type WithoutStamp<C> = C extends Stamped ? Omit<C, 'logTimeMs'> : never;
+type WithoutTimestamp<C> = C extends Timestamped ? Omit<C, 'logTimeMs'> : never;
 
-/** A command before the leader stamps it. */
-export type ControlRequest = WithoutStamp<ControlCommand>;
+/** A command before the leader assigns its log time. */
+export type ControlRequest = WithoutTimestamp<ControlCommand>;
 
 export type ChangeResult =
   | { readonly status: 'accepted'; readonly version: number }
@@ -100,10 +100,10 @@
   | { readonly status: 'mismatch' }
   | { readonly status: 'full' }
   | { readonly status: 'voided' }
-  /** The caller of the command no longer owns the claim. */
+  /** The sender of the command does not own an open claim on the key. */
   | { readonly status: 'lost' };
 
-/** What a claim's state lets a caller conclude about its request. */
+/** The outcome to report for a request, by the outcome recorded in its claim. */
 export const OUTCOME_BY_CLAIM: Readonly<Record<ClaimOutcome, Outcome>> = {
   done: 'ran',
   failed: 'ran',
--- a/packages/control/src/controlState.ts
+++ b/packages/control/src/controlState.ts
@@ -24,7 +24,7 @@
   readonly claims?: ClaimStateOptions;
 }
 
-/** Everything the deployment must remember, as a state machine over the replicated log. */
+/** The durable state of a deployment, as a state machine over the replicated log. */
 export interface ControlState {
   readonly settings: SettingsState;
   readonly leases: LeaseState;
@@ -59,7 +59,7 @@
     claims: createClaimState(claims),
     apply(raw) {
       const command = raw as unknown as ControlCommand;
-      // Commands of two leaders may carry stamps out of order; time only moves forward.
+      // Log times of successive leaders may be out of order; the applied time never decreases.
       lastLogTimeMs = Math.max(lastLogTimeMs, command.logTimeMs);
       logClock.observe(lastLogTimeMs);
       const stamped = { ...command, logTimeMs: lastLogTimeMs };
--- a/packages/control/src/documentState.ts
+++ b/packages/control/src/documentState.ts
@@ -1,12 +1,12 @@
 /**
- * A document whose versions are numbered by those who send it: the highest number is in force.
- * What has been overtaken or was sent before is acknowledged and changes nothing.
+ * A document whose version numbers are assigned by its senders. The highest version is in force;
+ * a command with the same or a lower version is acknowledged and changes nothing.
  */
 import type { JsonValue } from '@spoolplank/shared';
 
 export interface StoredDocument {
   readonly version: number;
-  /** The document as it was sent, compressed and in base64. */
+  /** The document as received: compressed and base64-encoded. */
   readonly data: string;
 }
 
@@ -15,7 +15,7 @@
 }
 
 export interface ReplaceResult {
-  /** `held`: this version or a higher one was in force already. */
+  /** `held`: this version or a higher one was already in force. */
   readonly status: 'accepted' | 'held';
   readonly versionInForce: number;
 }
--- a/packages/control/src/leaseState.ts
+++ b/packages/control/src/leaseState.ts
@@ -20,24 +20,26 @@
   restore(snapshot: LeaseSnapshot): void;
 }
 
-const SWEEP_EVERY = 1024;
+/** Expired leases are deleted once per this number of acquire commands. */
+const SWEEP_INTERVAL_COMMANDS = 1024;
 
 /**
- * Leases with fencing numbers that only rise. A holder counts its lease from before it asked,
- * the log from when it was granted: the holder always gives up first.
+ * Leases with monotonically increasing fencing numbers. A holder measures the duration from before
+ * it sends the request and the log from the grant, so a lease ends at its holder before it ends in
+ * the log.
  *
  * Source: Gray and Cheriton, "Leases", SOSP 1989.
  */
 export function createLeaseState(): LeaseState {
-  // One counter for all names: a number stays unused even after its lease is forgotten.
+  // One counter serves all names, so a number is not reused after its lease has been deleted.
   let lastFencingNumber = 0;
   let leases = new Map<string, LeaseRecord>();
-  let untilSweep = SWEEP_EVERY;
+  let commandsUntilSweep = SWEEP_INTERVAL_COMMANDS;
 
   function sweep(logTimeMs: number): void {
-    untilSweep -= 1;
-    if (untilSweep > 0) return;
-    untilSweep = SWEEP_EVERY;
+    commandsUntilSweep -= 1;
+    if (commandsUntilSweep > 0) return;
+    commandsUntilSweep = SWEEP_INTERVAL_COMMANDS;
     leases.forEach(({ name, expiresAtMs }) => {
       if (expiresAtMs <= logTimeMs) leases.delete(name);
     });
--- a/packages/control/src/logClock.ts
+++ b/packages/control/src/logClock.ts
@@ -1,14 +1,14 @@
 import type { Clock } from '@spoolplank/shared';
 
 /**
- * Time as the log knows it. The leader stamps commands with it; it continues from the last
- * stamp by the local monotonic clock. It can therefore run late, after a change of leader or
- * a restart, but never early, and no correction of a wall clock moves it: a lease or a claim
- * may last a little longer than asked, never shorter.
+ * The log's own time, with which the leader timestamps commands. It advances from the last applied
+ * timestamp at the rate of the local monotonic clock. After a change of leader or a restart it may
+ * lag behind real time but never leads it, and wall-clock adjustments do not affect it. A lease or
+ * a claim may therefore last slightly longer than requested, never shorter.
  */
 export interface LogClock {
   nowMs(): number;
-  /** Takes over the stamp of an applied command. */
+  /** Advances the clock to the timestamp of an applied command. */
   observe(logTimeMs: number): void;
 }
 
--- a/packages/control/src/settingsState.ts
+++ b/packages/control/src/settingsState.ts
@@ -4,7 +4,6 @@
 import { canonicalJson } from '@spoolplank/shared';
 import type { ChangeResult, ChangeSettings } from './commands';
 
-/** A change that was accepted. */
 export interface AcceptedChange {
   readonly version: number;
   readonly changeId: string;
@@ -14,14 +13,14 @@
   readonly note?: string;
 }
 
-/** What a reader needs to come from one version to the newest. */
+/** What a reader needs to update from its version to the newest one. */
 export type SettingsDelta =
   | { readonly kind: 'changes'; readonly changes: readonly AcceptedChange[] }
   | { readonly kind: 'tree'; readonly version: number; readonly tree: SettingsTree };
 
-interface RememberedResult {
+interface StoredResult {
   readonly changeId: string;
-  /** Distinguishes a resend from another change under the same id. */
+  /** Distinguishes a retry from a different change with the same id. */
   readonly digest: string;
   readonly result: ChangeResult;
 }
@@ -30,13 +29,13 @@
   readonly version: number;
   readonly tree: SettingsTree;
   readonly history: readonly AcceptedChange[];
-  readonly results: readonly RememberedResult[];
+  readonly results: readonly StoredResult[];
 }
 
 export interface SettingsStateOptions {
-  /** Accepted changes that are kept for history and deltas. */
+  /** Maximum number of accepted changes kept for history and deltas. */
   readonly maxHistory?: number;
-  /** Answers that are kept for resends. */
+  /** Maximum number of results kept for answering retries. */
   readonly maxResults?: number;
 }
 
@@ -61,21 +60,21 @@
     .slice(0, 16);
 }
 
-/** Drops the oldest entries once a tenth too many have gathered, so that it costs little. */
-function trim(list: unknown[], limit: number): void {
+/** Drops the oldest entries once the limit is exceeded by 10 %, so that the cost is amortised. */
+function dropOldest(list: unknown[], limit: number): void {
   if (list.length > limit * 1.1) list.splice(0, list.length - limit);
 }
 
-/** The settings in force, and what is needed to answer a resent change as the first time. */
+/** The settings in force, and the results needed to answer a retried change identically. */
 export function createSettingsState(options: SettingsStateOptions = {}): SettingsState {
   const maxHistory = options.maxHistory ?? DEFAULT_MAX_HISTORY;
   const maxResults = options.maxResults ?? DEFAULT_MAX_RESULTS;
   let version = 0;
   let tree: SettingsTree = EMPTY_TREE;
   let history: AcceptedChange[] = [];
-  let results = new Map<string, RememberedResult>();
+  let results = new Map<string, StoredResult>();
 
-  function remember(command: ChangeSettings, result: ChangeResult): ChangeResult {
+  function storeResult(command: ChangeSettings, result: ChangeResult): ChangeResult {
     const { changeId } = command;
     results.set(changeId, { changeId, digest: digestChange(command), result });
     if (results.size > maxResults) {
@@ -96,7 +95,7 @@
       wallMs,
       ...(note ? { note } : {}),
     });
-    trim(history, maxHistory);
+    dropOldest(history, maxHistory);
     return { status: 'accepted', version };
   }
 
@@ -115,13 +114,13 @@
           : { status: 'reused', version };
       }
       if (command.baseVersion !== version)
-        return remember(command, { status: 'conflict', version });
-      return remember(command, accept(command));
+        return storeResult(command, { status: 'conflict', version });
+      return storeResult(command, accept(command));
     },
     deltaSince(since) {
       const changes = history.slice(Math.max(0, history.length - (version - since)));
-      const isWhole = since <= version && changes.length === version - since;
-      return isWhole ? { kind: 'changes', changes } : { kind: 'tree', version, tree };
+      const coversGap = since <= version && changes.length === version - since;
+      return coversGap ? { kind: 'changes', changes } : { kind: 'tree', version, tree };
     },
     history: (limit) => history.slice(-limit).reverse(),
     snapshot: () => ({
