--- a/packages/consensus/__tests__/groupMembership.spec.ts
+++ b/packages/consensus/__tests__/groupMembership.spec.ts
@@ -5,8 +5,8 @@
 
 const LIMITS = deriveMembershipLimits({ lossesBorne: 1, catchUpMs: 4000 });
 const FIVE = deriveMembershipLimits({ lossesBorne: 2, catchUpMs: 4000 });
-const WELL: MemberView = { silentForMs: 100, steadyForMs: 10_000, isInStep: true };
-const GONE: MemberView = { silentForMs: 60_000, steadyForMs: null, isInStep: false };
+const WELL: MemberView = { silentForMs: 100, stableForMs: 10_000, isCaughtUp: true };
+const GONE: MemberView = { silentForMs: 60_000, stableForMs: null, isCaughtUp: false };
 const THREE: Configuration = { voters: ['vm1#a', 'vm2#b', 'vm3#c'], learners: [] };
 const DATA_CENTRES: Readonly<Record<string, string>> = {
   vm1: 'east',
@@ -61,7 +61,7 @@
     assert.equal(FIVE.votersWanted, 5);
     const half = deriveMembershipLimits({ lossesBorne: 1, catchUpMs: 2000 });
     assert.equal(half.silentAfterMs, LIMITS.silentAfterMs / 2);
-    assert.equal(half.steadyForMs, LIMITS.steadyForMs / 2);
+    assert.equal(half.stableForMs, LIMITS.stableForMs / 2);
     const none = deriveMembershipLimits({ lossesBorne: 0, catchUpMs: 4000 });
     assert.equal(none.votersWanted, 3, 'one voter alone would lose what was acknowledged');
   });
@@ -90,14 +90,14 @@
       replicaId: 'vm4#d',
     });
     assert.equal(
-      decide(LEARNING, { joining, members: { 'vm4#d': { ...WELL, steadyForMs: 0 } } }),
+      decide(LEARNING, { joining, members: { 'vm4#d': { ...WELL, stableForMs: 0 } } }),
       null,
     );
   });
 
   it('is given no vote before it holds what is committed and has answered for a while', () => {
-    const tooYoung = { ...WELL, steadyForMs: LIMITS.steadyForMs - 1 };
-    const behind = { ...WELL, isInStep: false };
+    const tooYoung = { ...WELL, stableForMs: LIMITS.stableForMs - 1 };
+    const behind = { ...WELL, isCaughtUp: false };
     [tooYoung, behind].forEach((view) =>
       assert.equal(decide(LEARNING, { members: { 'vm4#d': view } }), null),
     );
@@ -128,7 +128,7 @@
     assert.deepEqual(calm, {
       kind: 'hand-over',
       successor: 'vm3#c',
-      reason: 'newer in the data centre',
+      reason: 'replacement in the data centre',
     });
   });
 
@@ -221,7 +221,7 @@
       standbys: ['vm3#c'],
     };
     assert.deepEqual(changeOf(decide(configuration)), exchange(['vm3#c'], ['vm1#a']));
-    const members = { 'vm4#d': { ...WELL, silentForMs: LIMITS.freshForMs + 1 } };
+    const members = { 'vm4#d': { ...WELL, silentForMs: LIMITS.maxContactAgeMs + 1 } };
     assert.equal(decide(configuration, { members }), null, 'not while anyone is silent');
   });
 });
--- a/packages/consensus/__tests__/membershipRecord.spec.ts
+++ b/packages/consensus/__tests__/membershipRecord.spec.ts
@@ -68,7 +68,7 @@
   it('gives it a vote once it has answered for a while and holds all that is committed', () => {
     const { look } = createFixture();
     const status = createStatus({ configuration: LEARNING });
-    assert.deepEqual(look(status, LIMITS.steadyForMs), []);
+    assert.deepEqual(look(status, LIMITS.stableForMs), []);
     assert.equal(changes(look(status, LOOK_MS))[0], 'keep-standby', 'no data centre is known');
   });
 
@@ -88,13 +88,13 @@
     const { look } = createFixture();
     const matchIndexes = { ...ALL_HOLD, 'vm4#d': 99 };
     const status = createStatus({ configuration: LEARNING, matchIndexes });
-    assert.deepEqual(look(status, 10 * LIMITS.steadyForMs), []);
+    assert.deepEqual(look(status, 10 * LIMITS.stableForMs), []);
   });
 
   it('waits where an entry was committed since the last look that the learner lacks', () => {
     const { look } = createFixture();
     const status = createStatus({ configuration: LEARNING });
-    look(status, LIMITS.steadyForMs);
+    look(status, LIMITS.stableForMs);
     const matchIndexes = { 'vm2#b': 101, 'vm3#c': 101, 'vm4#d': 100 };
     assert.deepEqual(look({ ...status, commitIndex: 101, matchIndexes }, LOOK_MS), []);
   });
@@ -102,10 +102,10 @@
   it('begins to count anew when it has not answered for a moment', () => {
     const { look } = createFixture();
     const status = createStatus({ configuration: LEARNING });
-    const answerAgesMs = { ...ALL_ANSWER, 'vm4#d': LIMITS.freshForMs + 1 };
-    assert.deepEqual(look(status, LIMITS.steadyForMs), []);
+    const answerAgesMs = { ...ALL_ANSWER, 'vm4#d': LIMITS.maxContactAgeMs + 1 };
+    assert.deepEqual(look(status, LIMITS.stableForMs), []);
     assert.deepEqual(look({ ...status, answerAgesMs }, LOOK_MS), []);
-    assert.deepEqual(look(status, LIMITS.steadyForMs), []);
+    assert.deepEqual(look(status, LIMITS.stableForMs), []);
     assert.equal(look(status, LOOK_MS).length, 1);
   });
 
@@ -114,8 +114,8 @@
     const exchanging = { ...LEARNING, outgoing: THREE.voters };
     const open = createStatus({ configuration: LEARNING, configurationIndex: 101 });
     const joint = createStatus({ configuration: exchanging });
-    assert.deepEqual(look(open, 10 * LIMITS.steadyForMs), []);
-    assert.deepEqual(look(joint, 10 * LIMITS.steadyForMs), []);
+    assert.deepEqual(look(open, 10 * LIMITS.stableForMs), []);
+    assert.deepEqual(look(joint, 10 * LIMITS.stableForMs), []);
   });
 });
 
@@ -137,7 +137,7 @@
       answerAgesMs: { 'vm2#b': 50, 'vm4#d': 50 },
       contactAgesMs: { 'vm3#c': LIMITS.silentAfterMs + 1 },
     });
-    look(status, LIMITS.steadyForMs);
+    look(status, LIMITS.stableForMs);
     assert.deepEqual(changes(look(status, LOOK_MS)), ['exchange']);
   });
 
@@ -188,7 +188,7 @@
     const { membership, clock, look } = createFixture();
     membership.recordJoin({ replicaId: 'vm4#d' });
     assert.deepEqual(changes(look(createStatus(), LOOK_MS)), ['add-learner']);
-    clock.advance(LIMITS.freshForMs);
+    clock.advance(LIMITS.maxContactAgeMs);
     assert.deepEqual(look(createStatus(), LOOK_MS), []);
   });
 
@@ -200,7 +200,7 @@
     assert.deepEqual(step, {
       kind: 'change',
       change: { kind: 'add-learner', replicaId: 'vm4#new' },
-      reason: 'asks to be taken in',
+      reason: 'requests to join',
     });
   });
 });
--- a/packages/consensus/__tests__/membershipReturns.spec.ts
+++ b/packages/consensus/__tests__/membershipReturns.spec.ts
@@ -29,7 +29,7 @@
     };
     group.run(ELECTION_MS);
     const { node } = group.addVm('dc3');
-    group.run(LIMITS.steadyForMs + MARGIN_MS);
+    group.run(LIMITS.stableForMs + MARGIN_MS);
     assert.ok(listMembers().includes(node.id));
     node.isCut = true;
     group.run(LIMITS.removeAfterMs + MARGIN_MS);
--- a/packages/consensus/examples/threeReplicas.ts
+++ b/packages/consensus/examples/threeReplicas.ts
@@ -7,7 +7,7 @@
 const TICK_MS = 50;
 const TICKS = 100;
 
-/** Moves messages and saves until nothing is left to do. */
+/** Saves the state of each replica, then delivers the messages sent. */
 function runTurn(
   replicas: ReadonlyMap<string, Replica>,
   onCommitted: (id: string, entry: LogEntry) => void,
@@ -15,7 +15,7 @@
   const network: Message[] = [];
   replicas.forEach((replica, id) => {
     const ready = replica.takeReady();
-    // Here a real caller would write `ready` to disk and wait for it.
+    // A real caller writes `ready` to disk and waits for the write here.
     replica.onSaved(ready);
     network.push(...ready.earlyMessages, ...ready.messages);
     ready.committed.forEach((entry) => onCommitted(id, entry));
--- a/packages/consensus/index.ts
+++ b/packages/consensus/index.ts
@@ -1,5 +1,5 @@
 export * from './src/configuration';
-export * from './src/groupFounding';
+export * from './src/groupBootstrap';
 export * from './src/groupMembership';
 export * from './src/groupRecovery';
 export * from './src/groupRunner';
--- a/packages/consensus/src/configuration.ts
+++ b/packages/consensus/src/configuration.ts
@@ -1,32 +1,32 @@
 /**
- * Identity of one replica: a VM and one life of its disk. A VM that lost its disk comes back
- * under a new identity, so that it can never vote as its predecessor.
+ * Identity of a replica: its VM and an id of its disk contents. A VM that lost its disk rejoins
+ * with a new identity, so that it cannot vote a second time under the old one.
  */
 export type ReplicaId = string;
 
-/** The VM of a replica: what its identity begins with. */
+/** The VM of a replica, which is the part of its identity before `#`. */
 export function vmOfReplica(replicaId: ReplicaId): string {
   return replicaId.split('#')[0] ?? replicaId;
 }
 
-/** Who takes part in a group. Only voters vote and count; all others just receive the log. */
+/** The members of a group. Only voters vote and count for a quorum; others receive the log. */
 export interface Configuration {
   readonly voters: readonly ReplicaId[];
-  /** Newcomers that are to become voters. */
+  /** New members that are catching up before they become voters. */
   readonly learners: readonly ReplicaId[];
-  /** Kept in step, to take the place of a voter that is lost. */
+  /** Non-voting members that are kept up to date to replace a lost voter. */
   readonly standbys?: readonly ReplicaId[];
   /**
-   * The voters before an exchange that is under way: until it is finished, whatever needs a
-   * majority needs one of these and one of the voters.
+   * The voters before an exchange in progress. Until it is finished, a quorum requires a majority
+   * of these as well as a majority of `voters`.
    */
   readonly outgoing?: readonly ReplicaId[];
 }
 
-/** One change of the membership; only one is under way at a time. */
+/** A membership change; only one may be in progress at a time. */
 export type ConfigurationChange =
   | { readonly kind: 'add-learner'; readonly replicaId: ReplicaId }
-  /** A learner is kept as a standby. */
+  /** Makes a learner a standby. */
   | { readonly kind: 'keep-standby'; readonly replicaId: ReplicaId }
   | { readonly kind: 'promote'; readonly replicaId: ReplicaId }
   | { readonly kind: 'remove'; readonly replicaId: ReplicaId }
@@ -41,25 +41,25 @@
   readonly kind: 'exchange';
   /** Learners or standbys that become voters. */
   readonly incoming: readonly ReplicaId[];
-  /** Voters that no longer vote. */
+  /** Voters that lose their vote. */
   readonly outgoing: readonly ReplicaId[];
-  /** Those of them that are kept as standbys; the others are removed. */
+  /** The outgoing voters that become standbys; the others are removed. */
   readonly kept: readonly ReplicaId[];
 }
 
-/** The replicas that a change is about. */
+/** The replicas affected by a change. */
 export function replicasOf(change: ConfigurationChange): readonly ReplicaId[] {
   return change.kind === 'exchange' ? [...change.incoming, ...change.outgoing] : [change.replicaId];
 }
 
-function without(
+function excludeIds(
   ids: readonly ReplicaId[] = [],
   ...removed: readonly ReplicaId[]
 ): readonly ReplicaId[] {
   return ids.filter((id) => !removed.includes(id));
 }
 
-/** Leaves empty lists out, as most groups have neither standbys nor an exchange under way. */
+/** Omits empty lists, as most groups have neither standbys nor an exchange in progress. */
 function createConfiguration({
   voters,
   learners,
@@ -86,63 +86,65 @@
   ) => Configuration;
 };
 
-const CHANGES: ChangeAppliers = {
+const CHANGE_APPLIERS: ChangeAppliers = {
   'add-learner': ({ voters, learners, standbys }, { replicaId }) => ({
     voters,
-    learners: voters.includes(replicaId) ? learners : [...without(learners, replicaId), replicaId],
-    standbys: without(standbys, replicaId),
+    learners: voters.includes(replicaId)
+      ? learners
+      : [...excludeIds(learners, replicaId), replicaId],
+    standbys: excludeIds(standbys, replicaId),
   }),
   'keep-standby': ({ voters, learners, standbys }, { replicaId }) => ({
     voters,
-    learners: without(learners, replicaId),
-    standbys: [...without(standbys, replicaId), replicaId],
+    learners: excludeIds(learners, replicaId),
+    standbys: [...excludeIds(standbys, replicaId), replicaId],
   }),
   promote: ({ voters, learners, standbys }, { replicaId }) => ({
-    voters: [...without(voters, replicaId), replicaId],
-    learners: without(learners, replicaId),
-    standbys: without(standbys, replicaId),
+    voters: [...excludeIds(voters, replicaId), replicaId],
+    learners: excludeIds(learners, replicaId),
+    standbys: excludeIds(standbys, replicaId),
   }),
   remove: ({ voters, learners, standbys }, { replicaId }) => ({
-    voters: without(voters, replicaId),
-    learners: without(learners, replicaId),
-    standbys: without(standbys, replicaId),
+    voters: excludeIds(voters, replicaId),
+    learners: excludeIds(learners, replicaId),
+    standbys: excludeIds(standbys, replicaId),
   }),
   exchange: ({ voters, learners, standbys }, { incoming, outgoing, kept }) => ({
-    voters: [...without(voters, ...outgoing, ...incoming), ...incoming],
-    learners: without(learners, ...incoming),
-    standbys: [...without(standbys, ...incoming), ...kept],
+    voters: [...excludeIds(voters, ...outgoing, ...incoming), ...incoming],
+    learners: excludeIds(learners, ...incoming),
+    standbys: [...excludeIds(standbys, ...incoming), ...kept],
     outgoing: voters,
   }),
 };
 
-/** Returns the configuration after a change; an exchange has to be finished after that. */
+/** Returns the configuration after a change; `finishExchange` must follow an exchange. */
 export function changeConfiguration(
   configuration: Configuration,
   change: ConfigurationChange,
 ): Configuration {
-  const apply = CHANGES[change.kind] as (
+  const apply = CHANGE_APPLIERS[change.kind] as (
     before: Configuration,
     change: ConfigurationChange,
   ) => Configuration;
   return createConfiguration(apply(configuration, change));
 }
 
-/** Returns the configuration after an exchange: the voters before it no longer count. */
+/** Returns the configuration after an exchange, without the previous voters. */
 export function finishExchange({ voters, learners, standbys }: Configuration): Configuration {
   return createConfiguration({ voters, learners, standbys });
 }
 
-/** The sets of voters of which each must agree: two while voters are exchanged. */
+/** The voter sets that must each reach a majority: two during an exchange, otherwise one. */
 export function voterSets({ voters, outgoing }: Configuration): readonly (readonly ReplicaId[])[] {
   return outgoing ? [voters, outgoing] : [voters];
 }
 
-/** Number of voters that make a majority of a set. */
+/** Smallest number of voters that is a majority of a set. */
 export function majorityOf(voters: readonly ReplicaId[]): number {
   return Math.floor(voters.length / 2) + 1;
 }
 
-/** Whether those for which `agrees` holds are a majority of each set of voters. */
+/** Whether the replicas for which `agrees` holds are a majority of each voter set. */
 export function hasQuorum(
   configuration: Configuration,
   agrees: (id: ReplicaId) => boolean,
@@ -152,17 +154,17 @@
   );
 }
 
-/** Whether a replica votes. */
+/** Whether a replica is in a voter set, including one that an exchange replaces. */
 export function isVoterOf(configuration: Configuration, replicaId: ReplicaId): boolean {
   return voterSets(configuration).some((voters) => voters.includes(replicaId));
 }
 
-/** Every voter, also those that an exchange under way takes out. */
+/** All voters, including those that an exchange in progress removes. */
 export function listVoters(configuration: Configuration): readonly ReplicaId[] {
   return [...new Set(voterSets(configuration).flat())];
 }
 
-/** Every replica that takes part, in whatever way. */
+/** All members: voters, learners and standbys. */
 export function listReplicas(configuration: Configuration): readonly ReplicaId[] {
   const { learners, standbys = [] } = configuration;
   return [...new Set([...listVoters(configuration), ...learners, ...standbys])];
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -26,13 +26,13 @@
 }
 
 /**
- * Whether a leader may still count on this replica not to vote. This is what makes the
- * leader's lease safe, so it holds from the start of the process on: what the replica
- * promised before it was restarted is not remembered.
+ * Whether this replica must not vote because a leader may rely on it. The safety of the leader's
+ * lease depends on this rule. It also applies for one election timeout after a start, because the
+ * time of the last leader contact before a restart is not stored.
  */
-function isBoundToLeader(state: ReplicaState): boolean {
+function isLeaderLeaseInForce(state: ReplicaState): boolean {
   if (state.role === 'leader') return isLeaseValid(state);
-  // By the time that never runs ahead: the leader's lease lasts no longer than this promise.
+  // `steadyMs` never runs ahead of real time, so the leader's lease ends before this period does.
   return state.clock.steadyMs() - state.lastLeaderContactMs < state.timings.electionTimeoutMs;
 }
 
@@ -47,7 +47,7 @@
   });
 }
 
-function askForVotes(state: ReplicaState, kind: 'pre-vote' | 'vote', term: number): void {
+function requestVotes(state: ReplicaState, kind: 'pre-vote' | 'vote', term: number): void {
   const { lastIndex, lastTerm } = state.log;
   listVoters(state.log.configuration)
     .filter((id) => id !== state.id)
@@ -79,11 +79,11 @@
   state.votes.clear();
   state.votes.set(state.id, true);
   resetRetryDeadline(state);
-  askForVotes(state, 'vote', state.term);
+  requestVotes(state, 'vote', state.term);
   if (hasWon(state)) becomeLeader(state);
 }
 
-/** Asks whether an election could be won, without disturbing anyone's term. */
+/** Checks whether an election could be won, without raising the term of any replica. */
 export function startPreVote(state: ReplicaState): void {
   state.role = 'pre-candidate';
   state.leaderId = null;
@@ -91,11 +91,11 @@
   state.votes.clear();
   state.votes.set(state.id, true);
   resetRetryDeadline(state);
-  askForVotes(state, 'pre-vote', state.term + 1);
+  requestVotes(state, 'pre-vote', state.term + 1);
   if (hasWon(state)) startElection(state);
 }
 
-/** Starts an election at once, because the leader hands over. */
+/** Starts an election immediately, because the leader transfers leadership. */
 export function startTransferElection(state: ReplicaState): void {
   if (!isVoter(state)) return;
   state.isTransferElection = true;
@@ -120,7 +120,7 @@
   message: MessageOf<'pre-vote'>,
 ): VoteDenialReason | null {
   if (message.term <= state.term) return 'term-not-newer';
-  if (isBoundToLeader(state)) return 'leader-alive';
+  if (isLeaderLeaseInForce(state)) return 'leader-alive';
   return isLogUpToDate(state, message) ? null : 'log-behind';
 }
 
@@ -148,14 +148,14 @@
 
 function findVoteDenial(state: ReplicaState, message: MessageOf<'vote'>): VoteDenialReason | null {
   if (message.term !== state.term) return 'term-not-newer';
-  const isFree = state.votedFor === null || state.votedFor === message.from;
-  if (!isFree) return 'already-voted';
+  const canVote = state.votedFor === null || state.votedFor === message.from;
+  if (!canVote) return 'already-voted';
   return isLogUpToDate(state, message) ? null : 'log-behind';
 }
 
 export function receiveVote(state: ReplicaState, message: MessageOf<'vote'>): void {
-  // Not even the term is taken over: a candidate that ignores a living leader is not heard.
-  if (message.term > state.term && !message.isTransfer && isBoundToLeader(state)) {
+  // The term is not adopted either: a candidate must not disrupt a leader that is still active.
+  if (message.term > state.term && !message.isTransfer && isLeaderLeaseInForce(state)) {
     recordDenial(state, message, 'leader-alive');
     return;
   }
--- a/packages/consensus/src/groupFounding.ts
+++ b/packages/consensus/src/groupBootstrap.ts
@@ -1,47 +1,47 @@
 /**
- * How a control VM with a blank folder finds its group. It forms a new one only when every
- * control VM says that it is blank too: a majority is not enough, as the one VM that cannot
- * be asked may hold what was accepted. See docs/design/replicated-log.md.
+ * Bootstrap of a control VM with an empty data folder. It creates a new group only if every control
+ * VM reports that its folder is empty too. A majority is not enough, because a single unreachable
+ * VM may hold committed state. See docs/design/replicated-log.md.
  */
 import { listReplicas } from './configuration';
 import type { Configuration, ReplicaId } from './configuration';
 
-/** What a control VM says of itself. */
+/** A control VM's description of its own replica. */
 export interface GroupDescription {
-  /** Null on a VM without a disk: it relays, and never takes part. */
+  /** Null on a VM without a disk, which only relays and is never a member. */
   readonly replicaId: ReplicaId | null;
-  /** Null while its folder is blank. */
+  /** Null while its folder is empty. */
   readonly configuration: Configuration | null;
-  /** Counts how often the group went on from one copy; 0 by default. */
+  /** Number of recoveries from a single copy; 0 by default. */
   readonly generation?: number;
 }
 
 export type BootstrapStep =
-  /** The group knows this replica: take part. */
+  /** The group has this replica as a member: start it. */
   | { readonly kind: 'take-part' }
-  /** The group does not know this replica: ask to be taken in. */
+  /** A group exists without this replica: ask to join. */
   | { readonly kind: 'join' }
-  /** No group exists: found it with this configuration. */
+  /** No group exists: create it with this configuration. */
   | { readonly kind: 'found'; readonly configuration: Configuration }
   | { readonly kind: 'wait'; readonly reason: string };
 
 export interface BootstrapView {
   readonly self: ReplicaId;
-  /** An answer for every other control VM; undefined when it gave none. */
+  /** The reply of every other control VM; undefined if it did not reply. */
   readonly others: readonly (GroupDescription | undefined)[];
 }
 
-/** The highest generation of a group that others report; copies of earlier ones do not count. */
+/** The highest reported generation of the group; copies of earlier generations do not count. */
 export function newestGeneration(others: readonly (GroupDescription | undefined)[]): number {
   return Math.max(0, ...others.map((other) => other?.generation ?? 0));
 }
 
-/** Decides the next step of a blank replica. */
+/** Decides the next step of a replica with an empty folder. */
 export function decideBootstrap({ self, others }: BootstrapView): BootstrapStep {
   const answers = others.filter((other) => other !== undefined);
   const generation = newestGeneration(others);
-  const groups = answers.flatMap(({ configuration, generation: theirs = 0 }) =>
-    configuration && theirs === generation ? [configuration] : [],
+  const groups = answers.flatMap(({ configuration, generation: groupGeneration = 0 }) =>
+    configuration && groupGeneration === generation ? [configuration] : [],
   );
   if (groups.some((configuration) => listReplicas(configuration).includes(self)))
     return { kind: 'take-part' };
@@ -53,7 +53,7 @@
     };
   }
   const voters = [self, ...answers.flatMap(({ replicaId }) => replicaId ?? [])].sort();
-  // One VM founds the group, so that two cannot found different ones.
+  // Only the VM with the lowest id creates the group, so that two VMs cannot create different ones.
   if (voters[0] !== self) return { kind: 'wait', reason: `${voters[0]} founds the group` };
   return { kind: 'found', configuration: { voters, learners: [] } };
 }
--- a/packages/consensus/src/groupMembership.ts
+++ b/packages/consensus/src/groupMembership.ts
@@ -1,4 +1,4 @@
-/** What one replica does for its group's members: it changes them as leader, or asks to be one. */
+/** Membership management of one replica: the leader changes members, others may ask to join. */
 import type { Clock } from '@spoolplank/shared';
 import { listReplicas, vmOfReplica } from './configuration';
 import type { ReplicaId } from './configuration';
@@ -11,54 +11,54 @@
   readonly clock: Clock;
   readonly replicaId: ReplicaId;
   readonly limits: MembershipLimits;
-  /** Data centre of a replica's VM, as far as it is known otherwise. */
+  /** Data centre of a replica's VM if its join request did not name one. */
   readonly dataCentreOf?: (replicaId: ReplicaId) => string | undefined;
 }
 
 export type MembershipAction =
   | MembershipStep
-  /** This replica is outside, or cut off from the group's leader: it asks to be taken in. */
+  /** This replica is not a member, or has lost contact with the leader, and must ask to join. */
   | { readonly kind: 'ask-to-join' }
-  /** This replica's process is about to end: it asks to have its vote taken over. */
+  /** This replica's process is shutting down and must ask the leader to replace its vote. */
   | { readonly kind: 'ask-to-leave' };
 
 export interface GroupMembership {
-  /** Records that a replica asks to be taken in; called where it leads. */
+  /** Records a request to join; called on the leader. */
   recordJoin(request: JoinRequest): void;
-  /** Records that a member's process is about to end; called where it leads. */
+  /** Records that a member's process is shutting down; called on the leader. */
   recordLeave(replicaId: ReplicaId): void;
-  /** From now on this replica's process is about to end. */
+  /** Records that this replica's process is shutting down. */
   beginLeaving(): void;
-  /** Records that the leader knows. */
+  /** Records that the leader has acknowledged the shutdown of this replica. */
   confirmLeave(): void;
   /**
-   * Whether it has its lead, or its vote, to hand over first, and somebody may take it; or the
-   * leader does not know yet and may be about to give it a vote.
+   * Whether the shutdown has to wait: this replica still has its leadership or its vote and another
+   * member can take it, or it has no vote but the leader, not yet aware of the shutdown, may assign
+   * one.
    */
   hasToHandOver(status: ReplicaStatus): boolean;
-  /** What to do next; called every so often, whatever the replica's role. */
+  /** Returns the next action; called periodically in every role. */
   next(status: ReplicaStatus): MembershipAction | null;
 }
 
-interface Asked {
+interface PendingJoin {
   readonly request: JoinRequest;
   readonly atMs: number;
 }
 
-/** Creates the part of one replica. */
 export function createGroupMembership(options: GroupMembershipOptions): GroupMembership {
   const { clock, replicaId, limits, dataCentreOf = () => undefined } = options;
-  const asked = new Map<ReplicaId, Asked>();
+  const pendingJoins = new Map<ReplicaId, PendingJoin>();
   const leavingAtMs = new Map<ReplicaId, number>();
   const dataCentres = new Map<ReplicaId, string>();
-  const steadySinceMs = new Map<ReplicaId, number>();
-  /** Since when this leader has them as members. */
+  const stableSinceMs = new Map<ReplicaId, number>();
+  /** When this leader first saw each member. */
   const memberSinceMs = new Map<ReplicaId, number>();
-  let commitIndexBefore = 0;
+  let previousCommitIndex = 0;
   let isLeaving = false;
-  let isLeaveHeard = false;
-  /** Whether it led at the look before. */
-  let hasLed = false;
+  let isLeaveConfirmed = false;
+  /** Whether this replica was the leader at the previous call of `next`. */
+  let wasLeader = false;
   let lastLeader: ReplicaId | null = null;
   let leaderSeenAtMs = clock.nowMs();
 
@@ -66,16 +66,17 @@
     if (id === replicaId) return 0;
     const answeredMs = answerAgesMs[id];
     if (answeredMs !== undefined) return answeredMs;
-    // The leader before was heard until it fell silent; of the others nothing was heard till now.
+    // Before becoming leader, a replica regularly hears only from the previous leader. For other
+    // members, silence is counted from when this leader first saw them.
     const contactAgeMs = id === lastLeader ? contactAgesMs[id] : undefined;
     return contactAgeMs ?? clock.nowMs() - (memberSinceMs.get(id) ?? clock.nowMs());
   }
 
-  function holdsUpTo(status: ReplicaStatus, id: ReplicaId, index: number): boolean {
+  function hasMatched(status: ReplicaStatus, id: ReplicaId, index: number): boolean {
     return (status.matchIndexes[id] ?? 0) >= index;
   }
 
-  /** A VM stays in its data centre, and to find out which one that is may take long. */
+  /** Caches the data centre of a VM, which never changes and may be slow to look up. */
   function dataCentreOfMember(id: ReplicaId): string | undefined {
     const dataCentre = dataCentres.get(id) ?? dataCentreOf(id);
     if (dataCentre !== undefined) dataCentres.set(id, dataCentre);
@@ -88,62 +89,64 @@
       .filter((id) => !members.includes(id))
       .forEach((id) => {
         memberSinceMs.delete(id);
-        steadySinceMs.delete(id);
+        stableSinceMs.delete(id);
       });
     [...dataCentres.keys()]
-      .filter((id) => !members.includes(id) && !asked.has(id))
+      .filter((id) => !members.includes(id) && !pendingJoins.has(id))
       .forEach((id) => dataCentres.delete(id));
     members
       .filter((id) => !memberSinceMs.has(id))
       .forEach((id) => memberSinceMs.set(id, clock.nowMs()));
   }
 
-  /** Records who has answered and held what was committed at the look before. */
-  function recordSteady(status: ReplicaStatus): void {
+  /** Records since when each member has kept replying and kept up with committed entries. */
+  function recordStability(status: ReplicaStatus): void {
     listReplicas(status.configuration).forEach((id) => {
       const answeredMs = id === replicaId ? 0 : status.answerAgesMs[id];
-      const isSteady =
+      const isStable =
         answeredMs !== undefined &&
-        answeredMs <= limits.freshForMs &&
-        holdsUpTo(status, id, commitIndexBefore);
-      if (!isSteady) steadySinceMs.delete(id);
-      else if (!steadySinceMs.has(id)) steadySinceMs.set(id, clock.nowMs());
+        answeredMs <= limits.maxContactAgeMs &&
+        hasMatched(status, id, previousCommitIndex);
+      if (!isStable) stableSinceMs.delete(id);
+      else if (!stableSinceMs.has(id)) stableSinceMs.set(id, clock.nowMs());
     });
-    commitIndexBefore = status.commitIndex;
+    previousCommitIndex = status.commitIndex;
   }
 
   function viewOf(status: ReplicaStatus, id: ReplicaId): MemberView {
     const nowMs = clock.nowMs();
-    const sinceMs = steadySinceMs.get(id);
+    const sinceMs = stableSinceMs.get(id);
     return {
       silentForMs: silentForMs(status, id),
-      steadyForMs: sinceMs === undefined ? null : nowMs - sinceMs,
-      isInStep: holdsUpTo(status, id, status.commitIndex),
+      stableForMs: sinceMs === undefined ? null : nowMs - sinceMs,
+      isCaughtUp: hasMatched(status, id, status.commitIndex),
     };
   }
 
-  function takeJoining(): readonly JoinRequest[] {
-    const oldestMs = clock.nowMs() - limits.freshForMs;
-    [...asked].filter(([, { atMs }]) => atMs < oldestMs).forEach(([id]) => asked.delete(id));
-    return [...asked.values()].map(({ request }) => request);
+  function listJoining(): readonly JoinRequest[] {
+    const oldestMs = clock.nowMs() - limits.maxContactAgeMs;
+    [...pendingJoins]
+      .filter(([, { atMs }]) => atMs < oldestMs)
+      .forEach(([id]) => pendingJoins.delete(id));
+    return [...pendingJoins.values()].map(({ request }) => request);
   }
 
   function listLeaving(): readonly ReplicaId[] {
-    // Until their silence shows.
-    const oldestMs = clock.nowMs() - 2 * limits.freshForMs;
+    // The entry is kept until the member's silence is detected.
+    const oldestMs = clock.nowMs() - 2 * limits.maxContactAgeMs;
     const others = [...leavingAtMs].filter(([, atMs]) => atMs >= oldestMs).map(([id]) => id);
     return isLeaving ? [...others, replicaId] : others;
   }
 
-  function lead(status: ReplicaStatus): MembershipStep | null {
-    if (!hasLed) {
-      hasLed = true;
-      commitIndexBefore = status.commitIndex;
-      steadySinceMs.clear();
+  function stepAsLeader(status: ReplicaStatus): MembershipStep | null {
+    if (!wasLeader) {
+      wasLeader = true;
+      previousCommitIndex = status.commitIndex;
+      stableSinceMs.clear();
       memberSinceMs.clear();
     }
     recordMembers(status);
-    recordSteady(status);
+    recordStability(status);
     const isChanging = status.commitIndex < status.configurationIndex;
     if (isChanging || status.configuration.outgoing) return null;
     return decideMembershipStep(
@@ -152,17 +155,17 @@
         configuration: status.configuration,
         viewOf: (id) => viewOf(status, id),
         dataCentreOf: dataCentreOfMember,
-        joining: takeJoining(),
+        joining: listJoining(),
         leaving: listLeaving(),
       },
       limits,
     );
   }
 
-  /** A replica that was removed while it was away receives no message about it. */
-  function follow({ configuration, leaderId }: ReplicaStatus): MembershipAction | null {
-    hasLed = false;
-    asked.clear();
+  /** A replica that was removed while unreachable is not notified, so it asks to join again. */
+  function stepAsFollower({ configuration, leaderId }: ReplicaStatus): MembershipAction | null {
+    wasLeader = false;
+    pendingJoins.clear();
     leavingAtMs.clear();
     const nowMs = clock.nowMs();
     if (leaderId !== null) {
@@ -178,9 +181,11 @@
   return {
     recordJoin(request) {
       const vmId = vmOfReplica(request.replicaId);
-      // A VM has one identity at a time: what an earlier one asked for is over.
-      [...asked.keys()].filter((id) => vmOfReplica(id) === vmId).forEach((id) => asked.delete(id));
-      asked.set(request.replicaId, { request, atMs: clock.nowMs() });
+      // A VM has one identity at a time, so requests of its earlier identities are dropped.
+      [...pendingJoins.keys()]
+        .filter((id) => vmOfReplica(id) === vmId)
+        .forEach((id) => pendingJoins.delete(id));
+      pendingJoins.set(request.replicaId, { request, atMs: clock.nowMs() });
       if (request.dataCentre !== undefined) dataCentres.set(request.replicaId, request.dataCentre);
     },
     recordLeave: (id) => leavingAtMs.set(id, clock.nowMs()),
@@ -188,15 +193,15 @@
       isLeaving = true;
     },
     confirmLeave() {
-      isLeaveHeard = true;
+      isLeaveConfirmed = true;
     },
     hasToHandOver({ role, configuration }) {
       const { voters, learners, standbys = [] } = configuration;
-      if (!voters.includes(replicaId)) return !isLeaveHeard;
+      if (!voters.includes(replicaId)) return !isLeaveConfirmed;
       const leaving = listLeaving();
       const hasSuccessor = voters.some((id) => id !== replicaId && !leaving.includes(id));
       return learners.length + standbys.length > 0 || (role === 'leader' && hasSuccessor);
     },
-    next: (status) => (status.role === 'leader' ? lead(status) : follow(status)),
+    next: (status) => (status.role === 'leader' ? stepAsLeader(status) : stepAsFollower(status)),
   };
 }
--- a/packages/consensus/src/groupRecovery.ts
+++ b/packages/consensus/src/groupRecovery.ts
@@ -1,14 +1,14 @@
 /**
- * Decides whether a group whose majority is gone for good may go on from one copy, and from which.
- * Whoever uses this gives up what only the missing voters had acknowledged.
+ * Decides whether a group that has permanently lost its quorum may be recovered from one copy, and
+ * from which. A recovery discards entries that only the missing voters had stored.
  */
 import { hasQuorum, listVoters } from './configuration';
 import type { Configuration, ReplicaId } from './configuration';
 
-/** What one VM holds of the group. */
+/** The copy of the group's state on one VM. */
 export interface GroupCopy {
   readonly replicaId: ReplicaId;
-  /** Counts how often the group went on from one copy; messages of another count are refused. */
+  /** Number of recoveries from a single copy; messages of another generation are refused. */
   readonly generation: number;
   readonly configuration: Configuration;
   readonly lastIndex: number;
@@ -21,12 +21,12 @@
   | {
       readonly kind: 'recover';
       readonly copy: Copy;
-      /** Voters of which no copy was found. */
+      /** Voters without a reachable copy. */
       readonly missing: readonly ReplicaId[];
       readonly risk: string;
     };
 
-/** Higher when it holds more: a later term goes before a longer log. */
+/** Orders copies as Raft elections do: a later term takes precedence over a longer log. */
 function compareCopies(a: GroupCopy, b: GroupCopy): number {
   return a.lastTerm - b.lastTerm || a.lastIndex - b.lastIndex;
 }
@@ -38,14 +38,14 @@
     .find(({ voters, ...rest }) => hasQuorum({ voters, ...rest }, (id) => found.has(id)));
 }
 
-/** Decides from the copies of all VMs that could be reached. */
+/** Decides from the copies of all reachable VMs. */
 export function decideRecovery<Copy extends GroupCopy>(
   copies: readonly Copy[],
 ): RecoveryDecision<Copy> {
   const generation = Math.max(...copies.map((copy) => copy.generation));
   const current = copies.filter((copy) => copy.generation === generation);
   const [copy] = [...current].sort((a, b) => compareCopies(b, a));
-  if (!copy) return { kind: 'refuse', reason: 'no VM that can be reached holds a copy' };
+  if (!copy) return { kind: 'refuse', reason: 'no reachable VM has a copy of the group' };
   const quorum = findQuorum(current);
   if (quorum) {
     const voters = listVoters(quorum).join(', ');
@@ -55,7 +55,7 @@
   if (ahead) {
     return {
       kind: 'refuse',
-      reason: `${ahead.replicaId} has ${ahead.commitIndex} entries in force, and ${copy.replicaId} of a later term holds only ${copy.lastIndex}`,
+      reason: `the copies are inconsistent: ${ahead.replicaId} has committed up to entry ${ahead.commitIndex}, but ${copy.replicaId}, of a later term, ends at entry ${copy.lastIndex}`,
     };
   }
   const found = new Set(current.map(({ replicaId }) => replicaId));
--- a/packages/consensus/src/groupRunner.ts
+++ b/packages/consensus/src/groupRunner.ts
@@ -3,16 +3,16 @@
 import type { ConfigurationChange, ReplicaId } from './configuration';
 import type { LogEntry, Message, SnapshotMeta } from './messages';
 import { createProposalWaiters } from './proposalWaiters';
-import type { ProposalPlace } from './proposalWaiters';
+import type { ProposalPosition } from './proposalWaiters';
 import { createReadyStore } from './readyStore';
 import { createReplica } from './replica';
 import type { Ready, Replica, ReplicaStatus } from './replica';
 import type { ReplicaTimings } from './replicaState';
 import type { ReplicaStorage } from './storage';
 
-/** What the log is for: commands in log order, and snapshots of their outcome. */
+/** Applies commands in log order, and creates and restores snapshots of the resulting state. */
 export interface StateMachine {
-  /** Must depend on nothing but the commands applied before. */
+  /** Must be deterministic: the result depends only on the commands applied so far. */
   apply(command: JsonValue): JsonValue;
   takeSnapshot(): string;
   restore(snapshot: string): void;
@@ -25,45 +25,45 @@
   readonly random: Random;
   readonly storage: ReplicaStorage;
   readonly stateMachine: StateMachine;
-  /** Sends a message; may lose it. */
+  /** Sends a message; delivery is not guaranteed. */
   readonly send: (message: Message) => void;
-  /** Runs a function later; returns how to cancel that. */
+  /** Runs a function after a delay; returns a function that cancels it. */
   readonly schedule: (run: () => void, delayMs: number) => () => void;
-  /** Called with trouble with the disk, once when it begins and once when it ends. */
+  /** Called when the disk becomes full or fails, and with null when it has recovered. */
   readonly onStorageState?: (error: SpoolplankError | null) => void;
-  /** Called after commands were applied. */
+  /** Called after entries have been applied or a snapshot has been restored. */
   readonly onApplied?: () => void;
   readonly timings?: Partial<ReplicaTimings>;
-  /** A snapshot is taken after this many applied entries. */
+  /** Number of applied entries after which a snapshot is taken. */
   readonly snapshotEveryEntries?: number;
-  /** Entries kept before a snapshot, for followers that are a little behind. */
+  /** Number of entries kept before a snapshot, for followers that lag slightly. */
   readonly keepEntries?: number;
   readonly snapshotChunkLength?: number;
-  /** How long a proposal may take before its outcome is reported as unknown. */
+  /** Time after which the outcome of a proposal is reported as unknown. */
   readonly proposalTimeoutMs?: number;
   readonly tickIntervalMs?: number;
 }
 
 export interface GroupRunner {
-  /** Loads what the disk holds and takes part from then on. */
+  /** Loads the stored state and starts the replica. */
   start(): Promise<void>;
   receive(message: Message): void;
   /**
-   * Adds a command and resolves with what the state machine returned for it.
+   * Appends a command and resolves with the result of the state machine.
    *
    * @throws SpoolplankError `not-leader` (nothing was done), `no-quorum` (outcome unknown),
    * `storage-full` (nothing was done).
    */
   propose(command: JsonValue): Promise<JsonValue>;
-  /** Changes the membership by one step and resolves when that is committed. */
+  /** Changes the membership by one step and resolves once the change is committed. */
   changeMembership(change: ConfigurationChange): Promise<void>;
   canRead(): boolean;
-  /** Hands the lead to a voter; returns whether the transfer has begun. */
+  /** Transfers leadership to a voter; returns whether the transfer has started. */
   transferLeadership(successor?: ReplicaId): boolean;
-  /** From now on others go first in elections, as this replica is about to stop. */
+  /** Delays this replica's elections from now on, because it is about to stop. */
   avoidLead(): void;
   status(): ReplicaStatus;
-  /** Stops taking part; what is being saved is finished first. */
+  /** Stops the replica after the save in progress has finished. */
   stop(): Promise<void>;
 }
 
@@ -90,8 +90,8 @@
 }
 
 /**
- * Runs one replica against a disk, a network and a state machine. Everything that gathers
- * while the disk is busy goes into its next write, so that one sync serves many commands.
+ * Runs one replica with a disk, a network and a state machine. Commands that arrive during a write
+ * are batched into the next one, so that one sync serves many commands.
  */
 export function createGroupRunner(options: GroupRunnerOptions): GroupRunner {
   const settings = { ...DEFAULTS, ...options };
@@ -129,18 +129,18 @@
     options.onApplied?.();
   }
 
-  async function fillSnapshot(message: Message): Promise<Message | null> {
+  async function fillSnapshotChunk(message: Message): Promise<Message | null> {
     if (message.kind !== 'snapshot') return message;
-    // Snapshots are replaced while this runs one at a time with the saves, never during it.
+    // Saves and sends run one after the other, so the snapshot cannot be replaced during the read.
     if (message.meta.index !== replica.status().snapshotIndex) return null;
     const text = await storage.readSnapshot();
     const end = message.offset + settings.snapshotChunkLength;
     return { ...message, data: text.slice(message.offset, end), isLast: end >= text.length };
   }
 
-  async function sendAll(messages: readonly Message[]): Promise<void> {
+  async function sendFilled(messages: readonly Message[]): Promise<void> {
     for (const message of messages) {
-      const filled = await fillSnapshot(message);
+      const filled = await fillSnapshotChunk(message);
       if (filled && !isStopped) options.send(filled);
     }
   }
@@ -151,7 +151,7 @@
     const meta: SnapshotMeta = {
       index: appliedIndex,
       term: appliedTerm,
-      // The newest one may stand behind what was applied, and be taken back by another leader.
+      // The newest configuration may be in an unapplied entry, which another leader may overwrite.
       configuration: replica.configurationAt(appliedIndex),
     };
     const baseIndex = Math.max(0, appliedIndex - settings.keepEntries);
@@ -160,8 +160,8 @@
     replica.compact(base.index, meta);
   }
 
-  /** Without room for a snapshot the log only grows longer; the next entries try again. */
-  async function snapshotIfThereIsRoom(): Promise<void> {
+  /** Takes a snapshot if due; on a full disk the log keeps growing until a later call succeeds. */
+  async function tryTakeSnapshot(): Promise<void> {
     try {
       await takeSnapshotIfDue();
     } catch (error) {
@@ -175,10 +175,10 @@
     ready.earlyMessages.forEach(settings.send);
     await readyStore.store(ready);
     replica.onSaved(ready);
-    await sendAll(ready.messages);
+    await sendFilled(ready.messages);
     if (ready.snapshot) restore(ready.snapshot.meta, ready.snapshot.data);
     applyCommitted(ready.committed);
-    await snapshotIfThereIsRoom();
+    await tryTakeSnapshot();
   }
 
   async function pump(): Promise<void> {
@@ -215,13 +215,13 @@
     if (readyStore.isFull) throw new SpoolplankError('storage-full');
   }
 
-  function waitFor(place: ProposalPlace | null): Promise<JsonValue> {
-    if (!place) {
+  function waitFor(position: ProposalPosition | null): Promise<JsonValue> {
+    if (!position) {
       const leaderId = replica.status().leaderId ?? undefined;
       return Promise.reject(new SpoolplankError('not-leader', { leaderId }));
     }
-    const waiting = waiters.waitFor(place);
-    // After the current turn, so that proposals made together share one write.
+    const waiting = waiters.waitFor(position);
+    // Deferred to a microtask, so that proposals made in the same turn share one write.
     queueMicrotask(wake);
     return waiting;
   }
--- a/packages/consensus/src/membershipLimits.ts
+++ b/packages/consensus/src/membershipLimits.ts
@@ -1,73 +1,73 @@
-/** What the settings promise of a group, and the counts and times that follow from it. */
+/** The fault tolerance that the settings require of a group, and the limits derived from it. */
 
-/** Losses that a group has to bear. */
+/** Losses that a group has to tolerate. */
 export interface GroupPromise {
-  /** VMs that may be lost at a time. */
+  /** Number of VMs that may be lost at the same time. */
   readonly lossesBorne: number;
   /**
-   * How long a VM counts as lost after it is back, or after the start of the one that takes its
-   * place, in milliseconds. The next one may be lost right after that.
+   * How long a VM still counts as lost after it has returned or its replacement has started. The
+   * next VM may be lost immediately afterwards.
    */
   readonly catchUpMs: number;
 }
 
 export interface MembershipLimits {
-  /** Voters of which a majority is left after the losses. */
+  /** Number of voters of which a majority remains after the tolerated losses. */
   readonly votersWanted: number;
-  /** A member answers without a gap for so long before it is given a vote. */
-  readonly steadyForMs: number;
-  /** A voter that has not answered for so long gives way to a standby. */
+  /** Time for which a member must reply without a gap before it becomes a voter. */
+  readonly stableForMs: number;
+  /** Time without a reply after which a voter is replaced by a standby. */
   readonly silentAfterMs: number;
-  /** A member without a vote that has not answered for so long is removed. */
+  /** Time without a reply after which a non-voting member is removed. */
   readonly removeAfterMs: number;
-  /** Age at which an answer, or a request to join, no longer counts as present. */
-  readonly freshForMs: number;
+  /** Maximum age of a reply or a join request that still counts as current. */
+  readonly maxContactAgeMs: number;
 }
 
-/** How fast a group notices that its leader is lost. */
+/** Timings that determine how fast a group detects the loss of its leader. */
 export interface ElectionTimings {
   readonly electionTimeoutMs: number;
   readonly heartbeatIntervalMs: number;
 }
 
 export const DEFAULT_GROUP_PROMISE: GroupPromise = { lossesBorne: 1, catchUpMs: 4000 };
-/** A newcomer has to find the group, answer steadily, and be exchanged for a voter within it. */
-const STEADY_SHARE = 1 / 8;
-/** Leaves time to elect a leader before it, and to exchange the voter after it. */
+/** Within `catchUpMs` a new VM must find the group, prove stable and be exchanged for a voter. */
+const STABLE_SHARE = 1 / 8;
+/** Leaves time within `catchUpMs` to elect a leader first and to exchange the voter afterwards. */
 const SILENT_SHARE = 1 / 4;
-/** Long enough for a VM that restarts, or is cut off, to find its place as it was. */
+/** Long enough for a VM that restarts or is partitioned to return before it is removed. */
 const REMOVE_SHARE = 2.5;
-const FRESH_SHARE = 1 / 8;
-/** A lost leader is noticed and replaced within twice the timeout; the rest is for the exchange. */
+const MAX_CONTACT_AGE_SHARE = 1 / 8;
+/** A lost leader is replaced within twice the timeout; the remaining time is for the exchange. */
 const ELECTION_SHARE = 0.175;
 const HEARTBEATS_PER_TIMEOUT = 3.5;
-/** A leader that ended is replaced within 1.4 s; a pause of 300 ms on a busy VM is borne. */
+/** Replaces a failed leader within 1.4 s, and tolerates pauses of 300 ms on a busy VM. */
 const MAX_ELECTION_TIMEOUT_MS = 700;
-/** A group of one cannot lose anything, whatever was promised. */
+/** A single voter could lose acknowledged entries, so at least one loss is always tolerated. */
 const MIN_LOSSES = 1;
 
-/** Timers of a replica run out this late; an election timeout has to be well above that. */
+/** Lower bound for the election timeout, which must be well above the timer delay of a replica. */
 const MIN_ELECTION_TIMEOUT_MS = 200;
 
-/** Says why a promise cannot be kept; null when it can. */
+/** Returns why the required fault tolerance cannot be met, or null if it can. */
 export function findPromiseProblem({ catchUpMs }: GroupPromise): string | null {
   const leastMs = Math.ceil(MIN_ELECTION_TIMEOUT_MS / ELECTION_SHARE);
   if (catchUpMs >= leastMs) return null;
-  return `a VM cannot be back, or replaced, within ${catchUpMs} ms: an election alone may take ${2 * MIN_ELECTION_TIMEOUT_MS} ms, and the group needs ${leastMs} ms`;
+  return `a VM cannot return or be replaced within ${catchUpMs} ms: an election alone may take ${2 * MIN_ELECTION_TIMEOUT_MS} ms, and the group needs ${leastMs} ms`;
 }
 
-/** Works out the limits from a promise. */
+/** Derives the membership limits from the required fault tolerance. */
 export function deriveMembershipLimits({ lossesBorne, catchUpMs }: GroupPromise): MembershipLimits {
   return {
     votersWanted: 2 * Math.max(MIN_LOSSES, lossesBorne) + 1,
-    steadyForMs: catchUpMs * STEADY_SHARE,
+    stableForMs: catchUpMs * STABLE_SHARE,
     silentAfterMs: catchUpMs * SILENT_SHARE,
     removeAfterMs: catchUpMs * REMOVE_SHARE,
-    freshForMs: catchUpMs * FRESH_SHARE,
+    maxContactAgeMs: catchUpMs * MAX_CONTACT_AGE_SHARE,
   };
 }
 
-/** Works out the timings of elections from a promise. */
+/** Derives the election timings from the required fault tolerance. */
 export function deriveElectionTimings({ catchUpMs }: GroupPromise): ElectionTimings {
   const wantedMs = Math.max(MIN_ELECTION_TIMEOUT_MS, catchUpMs * ELECTION_SHARE);
   const electionTimeoutMs = Math.min(MAX_ELECTION_TIMEOUT_MS, wantedMs);
--- a/packages/consensus/src/membershipRules.ts
+++ b/packages/consensus/src/membershipRules.ts
@@ -1,31 +1,31 @@
 /**
- * Decides the next change of a group's members, from what its leader knows of them.
+ * Decides the next membership change of a group from the leader's view of its members.
  *
- * At no step does the loss of a VM that is to be borne leave fewer voters than a majority, if it
- * would not have done so before the step: voters are only exchanged, by joint consensus, and only
- * for members that are in step. See docs/design/group-membership.md.
+ * No step makes a tolerated loss of VMs break the quorum if the group would have survived that loss
+ * before the step: voters change only by joint consensus, and only caught-up members become voters.
+ * See docs/design/group-membership.md.
  */
 import { listReplicas, vmOfReplica } from './configuration';
 import type { Configuration, ConfigurationChange, ReplicaId } from './configuration';
 import type { MembershipLimits } from './membershipLimits';
 
-/** A replica that asks to be taken in. */
+/** A request of a replica to join the group. */
 export interface JoinRequest {
   readonly replicaId: ReplicaId;
-  /** Data centre of its VM; unknown where the settings name none. */
+  /** Data centre of its VM; undefined if the settings name none. */
   readonly dataCentre?: string;
-  /** Whether its VM starts with the whole system, and so takes nobody's place. */
+  /** Whether its VM starts together with the whole system and therefore replaces no voter. */
   readonly isFounding?: boolean;
 }
 
-/** What a leader knows of a member. */
+/** The leader's view of a member. */
 export interface MemberView {
-  /** Time since it last answered as itself, in milliseconds; 0 for the leader. */
+  /** Time since the last reply under this identity; 0 for the leader. */
   readonly silentForMs: number;
-  /** How long it has answered without a gap and held what was committed; null while it does not. */
-  readonly steadyForMs: number | null;
-  /** Whether it holds all that is committed now. */
-  readonly isInStep: boolean;
+  /** Time for which it has replied without a gap and kept up with commits; null otherwise. */
+  readonly stableForMs: number | null;
+  /** Whether it has stored every committed entry. */
+  readonly isCaughtUp: boolean;
 }
 
 export interface GroupView {
@@ -33,45 +33,45 @@
   readonly configuration: Configuration;
   viewOf(id: ReplicaId): MemberView;
   dataCentreOf(id: ReplicaId): string | undefined;
-  /** Those that ask to be taken in now. */
+  /** Replicas with a current request to join. */
   readonly joining: readonly JoinRequest[];
-  /** Members whose process is about to end. */
+  /** Members whose process is shutting down. */
   readonly leaving: readonly ReplicaId[];
 }
 
 export type MembershipStep =
   | { readonly kind: 'change'; readonly change: ConfigurationChange; readonly reason: string }
-  /** The leader itself gives way: another voter has to lead first. */
+  /** Leadership must move to another voter before the leader can lose its vote. */
   | { readonly kind: 'hand-over'; readonly successor: ReplicaId; readonly reason: string };
 
 type Rule = (view: GroupView, limits: MembershipLimits) => MembershipStep | null;
 
-const change = (made: ConfigurationChange, reason: string): MembershipStep => ({
+const change = (proposed: ConfigurationChange, reason: string): MembershipStep => ({
   kind: 'change',
-  change: made,
+  change: proposed,
   reason,
 });
 
-/** Those that hold what is committed, have done so for a while, and are not about to end. */
+/** Members that are caught up, have been stable for `leastMs`, and are not shutting down. */
 function listReady(
   { viewOf, leaving }: GroupView,
   ids: readonly ReplicaId[],
   leastMs: number,
 ): readonly ReplicaId[] {
   return ids.filter((id) => {
-    const { isInStep, steadyForMs } = viewOf(id);
-    return isInStep && steadyForMs !== null && steadyForMs >= leastMs && !leaving.includes(id);
+    const { isCaughtUp, stableForMs } = viewOf(id);
+    return isCaughtUp && stableForMs !== null && stableForMs >= leastMs && !leaving.includes(id);
   });
 }
 
-const listReadyLearners = (view: GroupView, { steadyForMs }: MembershipLimits) =>
-  listReady(view, view.configuration.learners, steadyForMs);
+const listReadyLearners = (view: GroupView, { stableForMs }: MembershipLimits) =>
+  listReady(view, view.configuration.learners, stableForMs);
 
-/** Standbys have shown themselves before; a new leader need not wait for that again. */
+/** Standbys have been stable before, so a new leader does not wait for that again. */
 const listReadyStandbys = (view: GroupView) =>
   listReady(view, view.configuration.standbys ?? [], 0);
 
-function findMostSilent(
+function findLongestSilent(
   { viewOf }: GroupView,
   ids: readonly ReplicaId[],
   longerThanMs: number,
@@ -88,13 +88,13 @@
   return configuration.voters.filter((id) => dataCentreOf(id) === dataCentre).length;
 }
 
-/** Those of data centres with the fewest voters first. */
+/** Sorts replicas of data centres with the fewest voters first. */
 function sortBySpread(view: GroupView, ids: readonly ReplicaId[]): readonly ReplicaId[] {
   const count = (id: ReplicaId) => countVoters(view, view.dataCentreOf(id));
   return [...ids].sort((a, b) => count(a) - count(b));
 }
 
-/** Lets another voter lead; one whose own process is about to end would only hand over again. */
+/** Transfers leadership to a voter that is not shutting down itself, as it would transfer again. */
 function handOver({ configuration, leader, leaving, viewOf }: GroupView, reason: string) {
   const [successor] = configuration.voters
     .filter((id) => id !== leader && !leaving.includes(id))
@@ -102,7 +102,7 @@
   return successor === undefined ? null : ({ kind: 'hand-over', successor, reason } as const);
 }
 
-/** Exchanges one voter; a leader that is to go hands over first. */
+/** Exchanges one voter; a leader that is to be replaced transfers leadership first. */
 function exchangeVoter(
   view: GroupView,
   incoming: ReplicaId,
@@ -110,23 +110,23 @@
   reason: string,
 ): MembershipStep | null {
   if (outgoing === view.leader) return handOver(view, reason);
-  // An identity that its VM has lost never comes back.
+  // The identity of a lost disk never returns, so it is not kept as a standby.
   const isLost = vmOfReplica(incoming) === vmOfReplica(outgoing);
   const kept = isLost ? [] : [outgoing];
   return change({ kind: 'exchange', incoming: [incoming], outgoing: [outgoing], kept }, reason);
 }
 
-/** Removes identities without a vote whose VM has another one by now. */
+/** Removes non-voting identities whose VM has a newer identity. */
 const removeLostIdentities: Rule = ({ configuration, joining }) => {
   const { learners, standbys = [] } = configuration;
   const inOrder = [...standbys, ...learners, ...joining.map(({ replicaId }) => replicaId)];
   const newestOf = (vmId: string) => inOrder.findLast((id) => vmOfReplica(id) === vmId);
   const lost = [...standbys, ...learners].find((id) => newestOf(vmOfReplica(id)) !== id);
   if (lost === undefined) return null;
-  return change({ kind: 'remove', replicaId: lost }, 'its VM has another identity');
+  return change({ kind: 'remove', replicaId: lost }, 'its VM has a newer identity');
 };
 
-const takeIn: Rule = ({ configuration, joining }) => {
+const admitJoiningReplica: Rule = ({ configuration, joining }) => {
   const members = listReplicas(configuration);
   const [newcomer] = joining.filter(({ replicaId }) => !members.includes(replicaId));
   if (!newcomer) return null;
@@ -136,10 +136,10 @@
   );
   return isFounding && !hasPredecessor
     ? change({ kind: 'keep-standby', replicaId }, 'starts with the system')
-    : change({ kind: 'add-learner', replicaId }, 'asks to be taken in');
+    : change({ kind: 'add-learner', replicaId }, 'requests to join');
 };
 
-/** Gives a VM that lost its disk its vote back. */
+/** Exchanges the old identity of a VM that lost its disk for its new one. */
 const replaceLostIdentity: Rule = (view, limits) => {
   const { configuration } = view;
   for (const learner of listReadyLearners(view, limits)) {
@@ -149,7 +149,7 @@
   return null;
 };
 
-/** Adds voters where there are too few, to an odd number: an even one bears no more losses. */
+/** Adds missing voters up to an odd number; an even number tolerates no more losses. */
 const addVoters: Rule = (view, limits) => {
   const { voters } = view.configuration;
   const missing = limits.votersWanted - voters.length;
@@ -159,7 +159,7 @@
     ...listReadyStandbys(view),
   ]);
   const count = Math.min(missing, ready.length);
-  // One voter alone is joined by whoever there is: what is acknowledged then lies on two disks.
+  // A single voter is joined by any ready member, so that commits are stored on two disks.
   const isOdd = (voters.length + count) % 2 === 1 || voters.length === 1;
   const incoming = ready.slice(0, isOdd ? count : count - 1);
   if (incoming.length === 0) return null;
@@ -167,35 +167,36 @@
 };
 
 /**
- * Gives a newcomer the vote of the one whose place it takes, before that one is seen to go: a
- * voter that is silent or leaving, or the only one of the newcomer's data centre. Where there are
- * several, which of them goes would be a guess.
+ * Exchanges a voter for a ready learner that replaces it, without waiting until the voter counts as
+ * failed: a voter that is silent or leaving, or the only voter in the learner's data centre. If the
+ * data centre has several voters, the one to be replaced is unknown and the learner becomes a
+ * standby.
  */
-const placeNewcomer: Rule = (view, limits) => {
+const placeReadyLearner: Rule = (view, limits) => {
   const { configuration, dataCentreOf } = view;
   const { voters } = configuration;
   const [newcomer] = listReadyLearners(view, limits);
   if (newcomer === undefined) return null;
-  const silent = findMostSilent(view, voters, limits.freshForMs);
+  const silent = findLongestSilent(view, voters, limits.maxContactAgeMs);
   if (silent !== undefined) return exchangeVoter(view, newcomer, silent, 'silent voter');
   const leaving = voters.find((id) => view.leaving.includes(id));
   if (leaving !== undefined) return exchangeVoter(view, newcomer, leaving, 'leaving voter');
   const dataCentre = dataCentreOf(newcomer);
-  const neighbours =
+  const sameDataCentreVoters =
     dataCentre === undefined ? [] : voters.filter((id) => dataCentreOf(id) === dataCentre);
-  const [only, ...others] = neighbours;
+  const [only, ...others] = sameDataCentreVoters;
   if (only !== undefined && others.length === 0) {
-    return exchangeVoter(view, newcomer, only, 'newer in the data centre');
+    return exchangeVoter(view, newcomer, only, 'replacement in the data centre');
   }
-  return change({ kind: 'keep-standby', replicaId: newcomer }, 'voters enough');
+  return change({ kind: 'keep-standby', replicaId: newcomer }, 'enough voters');
 };
 
-/** The standby to take a voter's place: one of its data centre where there is one. */
+/** The standby to replace a voter, preferably from the same data centre. */
 function findStandby(view: GroupView, voter: ReplicaId): ReplicaId | undefined {
   const { dataCentreOf } = view;
   const ready = listReadyStandbys(view);
-  const near = ready.find((id) => dataCentreOf(id) === dataCentreOf(voter));
-  return near ?? sortBySpread(view, ready)[0];
+  const sameDataCentre = ready.find((id) => dataCentreOf(id) === dataCentreOf(voter));
+  return sameDataCentre ?? sortBySpread(view, ready)[0];
 }
 
 const replaceLeavingVoter: Rule = (view) => {
@@ -207,13 +208,13 @@
 };
 
 const replaceSilentVoter: Rule = (view, limits) => {
-  const silent = findMostSilent(view, view.configuration.voters, limits.silentAfterMs);
+  const silent = findLongestSilent(view, view.configuration.voters, limits.silentAfterMs);
   const standby = silent === undefined ? undefined : findStandby(view, silent);
   if (silent === undefined || standby === undefined) return null;
   return exchangeVoter(view, standby, silent, 'silent voter');
 };
 
-/** Takes the vote from as many as are too many; a silent one first. */
+/** Removes surplus voters, silent ones first. */
 const removeVoters: Rule = (view, limits) => {
   const { configuration, leader, viewOf } = view;
   const { voters } = configuration;
@@ -232,11 +233,13 @@
   return change(made, tooMany > 0 ? 'too many voters' : 'an even number of voters');
 };
 
-/** Moves a vote to a data centre that has none from one that has several. */
+/** Moves a vote from a data centre with several voters to one without. */
 const spreadVoters: Rule = (view, limits) => {
   const { configuration, dataCentreOf, leader, viewOf } = view;
-  const isCalm = configuration.voters.every((id) => viewOf(id).silentForMs <= limits.freshForMs);
-  if (!isCalm) return null;
+  const areAllResponsive = configuration.voters.every(
+    (id) => viewOf(id).silentForMs <= limits.maxContactAgeMs,
+  );
+  if (!areAllResponsive) return null;
   const standby = listReadyStandbys(view).find((id) => {
     const dataCentre = dataCentreOf(id);
     return dataCentre !== undefined && countVoters(view, dataCentre) === 0;
@@ -246,36 +249,36 @@
     return id !== leader && dataCentre !== undefined && countVoters(view, dataCentre) > 1;
   });
   if (standby === undefined || crowded === undefined) return null;
-  return exchangeVoter(view, standby, crowded, 'a data centre without a voter');
+  return exchangeVoter(view, standby, crowded, 'data centre without a voter');
 };
 
 const removeSilent: Rule = (view, limits) => {
   const { learners, standbys = [] } = view.configuration;
-  const silent = findMostSilent(view, [...learners, ...standbys], limits.removeAfterMs);
+  const silent = findLongestSilent(view, [...learners, ...standbys], limits.removeAfterMs);
   if (silent === undefined) return null;
-  return change({ kind: 'remove', replicaId: silent }, 'silent without a vote');
+  return change({ kind: 'remove', replicaId: silent }, 'silent non-voter');
 };
 
-/** A leader whose process is about to end lets another one lead, whoever takes its vote. */
-const handOverLead: Rule = (view) =>
+/** A leader that is shutting down transfers leadership, whichever member gets its vote. */
+const handOverLeadership: Rule = (view) =>
   view.leaving.includes(view.leader) ? handOver(view, 'leaving leader') : null;
 
-/** The first that has something to do goes first. */
+/** Rules in order of priority; the first one that returns a step applies. */
 const RULES: readonly Rule[] = [
-  handOverLead,
+  handOverLeadership,
   replaceLeavingVoter,
   removeLostIdentities,
   replaceLostIdentity,
   addVoters,
-  placeNewcomer,
+  placeReadyLearner,
   replaceSilentVoter,
-  takeIn,
+  admitJoiningReplica,
   removeVoters,
   spreadVoters,
   removeSilent,
 ];
 
-/** The next step of a group; null when there is nothing to do. */
+/** Returns the next membership step of a group, or null if none is due. */
 export function decideMembershipStep(
   view: GroupView,
   limits: MembershipLimits,
--- a/packages/consensus/src/messages.ts
+++ b/packages/consensus/src/messages.ts
@@ -12,13 +12,13 @@
   readonly payload: EntryPayload;
 }
 
-/** What a replica must have on disk before it answers for it. */
+/** State that a replica must have on disk before it sends messages that depend on it. */
 export interface HardState {
   readonly term: number;
   readonly votedFor: ReplicaId | null;
 }
 
-/** Describes a snapshot: everything up to `index` is in it. */
+/** Metadata of a snapshot, which covers all entries up to `index`. */
 export interface SnapshotMeta {
   readonly index: number;
   readonly term: number;
@@ -47,7 +47,7 @@
   readonly kind: 'vote';
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** The leader asked for this election, so its lease need not be waited out. */
+  /** The leader requested this election, so voters need not wait for its lease to expire. */
   readonly isTransfer: boolean;
 }
 
@@ -62,14 +62,14 @@
   readonly prevTerm: number;
   readonly entries: readonly LogEntry[];
   readonly commitIndex: number;
-  /** The leader's monotonic clock at sending; returned by the follower. */
+  /** The leader's monotonic time at sending; echoed by the follower. */
   readonly sentAtMs: number;
 }
 
 export interface AppendReply extends Envelope {
   readonly kind: 'append-reply';
   readonly isAccepted: boolean;
-  /** Accepted: last index known to match. Refused: where the leader should try next. */
+  /** If accepted: the last index known to match. If refused: the index at which to retry. */
   readonly matchIndex: number;
   readonly sentAtMs: number;
 }
@@ -77,9 +77,9 @@
 export interface SnapshotMessage extends Envelope {
   readonly kind: 'snapshot';
   readonly meta: SnapshotMeta;
-  /** Place of this chunk in the snapshot text, in UTF-16 code units. */
+  /** Offset of this chunk in the snapshot text, in UTF-16 code units. */
   readonly offset: number;
-  /** Filled in by the runner, which alone reads storage. */
+  /** Set by the runner, as the replica does not read storage. */
   readonly data: string;
   readonly isLast: boolean;
   readonly sentAtMs: number;
@@ -96,7 +96,7 @@
   readonly kind: 'timeout-now';
 }
 
-/** Every message replicas of a group send each other. */
+/** The messages exchanged by the replicas of a group. */
 export type Message =
   | PreVoteMessage
   | PreVoteReply
--- a/packages/consensus/src/proposalWaiters.ts
+++ b/packages/consensus/src/proposalWaiters.ts
@@ -2,19 +2,19 @@
 import type { JsonValue } from '@spoolplank/shared';
 import type { LogEntry } from './messages';
 
-/** Where a proposal stands in the log. */
-export interface ProposalPlace {
+/** Position of a proposal in the log. */
+export interface ProposalPosition {
   readonly index: number;
   readonly term: number;
 }
 
-/** The callers that wait for their proposals to be applied. */
+/** Callers that are waiting for their proposals to be applied. */
 export interface ProposalWaiters {
-  /** @throws SpoolplankError `no-quorum` when it takes too long; the outcome is unknown then. */
-  waitFor(place: ProposalPlace): Promise<JsonValue>;
-  /** Gives the result of an applied entry to who waits for it. */
+  /** @throws SpoolplankError `no-quorum` on a timeout; the outcome is unknown. */
+  waitFor(position: ProposalPosition): Promise<JsonValue>;
+  /** Passes the result of an applied entry to its waiting caller. */
   settle(entry: LogEntry, result: JsonValue): void;
-  /** Rejects those up to an index: what became of their proposals is unknown. */
+  /** Rejects all waiters up to an index; the outcome of their proposals is unknown. */
   failUpTo(index: number): void;
 }
 
--- a/packages/consensus/src/raftLog.ts
+++ b/packages/consensus/src/raftLog.ts
@@ -2,7 +2,7 @@
 import type { LogEntry, SnapshotMeta } from './messages';
 import type { LogBase, StoredState } from './storage';
 
-/** The part of the log that is kept in memory, and how much of it is on disk. */
+/** The log entries kept in memory, and the position up to which they are on disk. */
 export interface RaftLog {
   readonly base: LogBase;
   readonly snapshot: SnapshotMeta | null;
@@ -16,21 +16,21 @@
   readonly configurationIndex: number;
   /** The configuration of the newest configuration entry up to `index`. */
   configurationAt(index: number): Configuration;
-  /** That configuration and all newer ones. */
+  /** The configuration at `index` and all newer ones. */
   configurationsFrom(index: number): readonly Configuration[];
-  /** Term of an entry; undefined when the entry is not in the log. */
+  /** Term of an entry; undefined if the entry is not in memory. */
   termAt(index: number): number | undefined;
   /** Entries from `from` on, at most `limit` of them. */
   slice(from: number, limit: number): readonly LogEntry[];
-  /** Adds entries, replacing what stood from the first one's index on. */
+  /** Appends entries, replacing existing ones from the first one's index on. */
   append(entries: readonly LogEntry[]): void;
-  /** Takes the entries that are to be written to disk next. */
+  /** Returns the entries to write to disk next, and marks them as taken. */
   takeUnsaved(): readonly LogEntry[];
-  /** Records that everything up to an entry is on disk, unless it was replaced since. */
+  /** Records that the log is on disk up to an entry, unless the entry has been replaced since. */
   markSaved(index: number, term: number): void;
   /** Drops entries up to `index` from memory. */
   compact(index: number, snapshot: SnapshotMeta): void;
-  /** Replaces everything by a snapshot. */
+  /** Replaces the whole log by a snapshot. */
   reset(snapshot: SnapshotMeta): void;
 }
 
@@ -47,7 +47,7 @@
   );
 }
 
-/** Creates the log of a replica from what its disk holds. */
+/** Creates the log of a replica from its stored state. */
 export function createRaftLog(stored: StoredState): RaftLog {
   let { base, snapshot } = stored;
   let entries = [...stored.entries];
--- a/packages/consensus/src/readyStore.ts
+++ b/packages/consensus/src/readyStore.ts
@@ -3,14 +3,14 @@
 import type { Ready } from './replica';
 import type { ReplicaStorage } from './storage';
 
-/** Brings to disk what a replica hands out, however long the disk is full. */
+/** Saves the output of a replica to disk, retrying for as long as the disk is full. */
 export interface ReadyStore {
-  /** Whether a full disk holds the replica still. */
+  /** Whether the replica is blocked by a full disk. */
   readonly isFull: boolean;
   /**
-   * Resolves when everything of a `Ready` is on disk.
+   * Resolves once all state of a `Ready` is on disk.
    *
-   * @throws SpoolplankError of the storage that is not `storage-full`.
+   * @throws SpoolplankError any storage error, but `storage-full` only after a stop.
    */
   store(ready: Ready): Promise<void>;
 }
@@ -19,7 +19,7 @@
   readonly storage: ReplicaStorage;
   readonly schedule: (run: () => void, delayMs: number) => () => void;
   readonly isStopped: () => boolean;
-  /** Called once when trouble begins and once when it ends. */
+  /** Called once when the disk becomes full and once, with null, when it recovers. */
   readonly onStorageState?: (error: SpoolplankError | null) => void;
 }
 
@@ -34,7 +34,7 @@
     if (hardState ?? entries.length) await storage.save({ hardState, entries });
   }
 
-  function recordTrouble(error: SpoolplankError | null): void {
+  function updateStorageState(error: SpoolplankError | null): void {
     if (Boolean(error) !== isFull) onStorageState?.(error);
     isFull = Boolean(error);
   }
@@ -53,12 +53,12 @@
       for (;;) {
         try {
           await storeOnce(ready);
-          recordTrouble(null);
+          updateStorageState(null);
           return;
         } catch (error) {
           const known = toSpoolplankError(error);
           if (known.code !== 'storage-full' || isStopped()) throw known;
-          recordTrouble(known);
+          updateStorageState(known);
           await delay(RETRY_MS);
         }
       }
--- a/packages/consensus/src/replica.ts
+++ b/packages/consensus/src/replica.ts
@@ -27,7 +27,7 @@
 
 export interface ReplicaOptions {
   readonly id: ReplicaId;
-  /** Name of the group; several groups can live in one process. */
+  /** Name of the group; one process can run replicas of several groups. */
   readonly group: string;
   readonly clock: Clock;
   readonly random: Random;
@@ -42,14 +42,17 @@
   maxInFlightEntries: 4096,
 };
 
-/** Work the caller must do, in this order: save, send, apply; then call `onSaved`. */
+/**
+ * Work for the caller, in this order: save the state, send `messages`, apply `committed`. The
+ * caller calls `onSaved` once the state is saved.
+ */
 export interface Ready {
   readonly hardState: HardState | null;
   readonly snapshot: { readonly meta: SnapshotMeta; readonly data: string } | null;
   readonly entries: readonly LogEntry[];
-  /** To be sent only after everything above is on disk. */
+  /** Must be sent only after the fields above are on disk. */
   readonly messages: readonly Message[];
-  /** May be sent while the disk is still busy. */
+  /** May be sent before the save completes. */
   readonly earlyMessages: readonly Message[];
   readonly committed: readonly LogEntry[];
 }
@@ -68,48 +71,48 @@
   /** Index of the entry that holds the configuration. */
   readonly configurationIndex: number;
   readonly isLeaseValid: boolean;
-  /** Leader only: what each follower is known to hold. */
+  /** Leader only: the highest index known to be stored on each follower. */
   readonly matchIndexes: Readonly<Record<ReplicaId, number>>;
-  /** Leader only: age in milliseconds of the newest message that each follower has answered. */
+  /** Leader only: time since the send of the newest message that each follower has acknowledged. */
   readonly answerAgesMs: Readonly<Record<ReplicaId, number>>;
-  /** Age in milliseconds of the last message of each member that was heard since the start. */
+  /** Time since the last message from each member that has sent one since this replica's start. */
   readonly contactAgesMs: Readonly<Record<ReplicaId, number>>;
-  /** The last vote that this replica denied; null when it has denied none since its start. */
+  /** The last vote that this replica denied since its start, or null. */
   readonly lastDenial: VoteDenial | null;
 }
 
-/** One member of a replicated log. It does no I/O: time, disk and network are its caller's. */
+/** A Raft replica. It does no I/O: the caller provides time, disk and network. */
 export interface Replica {
-  /** Takes in a message from another replica. */
+  /** Processes a message from another replica. */
   receive(message: Message): void;
-  /** Lets time pass: elections, heartbeats, the check for a quorum. */
+  /** Processes expired timers: elections, leadership transfers and the quorum check. */
   tick(): void;
-  /** Adds a command; returns its place, or null when this replica does not lead. */
+  /** Appends a command; returns its position, or null if this replica cannot accept proposals. */
   propose(command: JsonValue): { readonly index: number; readonly term: number } | null;
   /**
-   * Changes the membership; null when not leading or a change is under way. An exchange finishes
-   * by itself once both sets of voters have agreed to it.
+   * Changes the membership; returns null if this replica is not the leader or a change is in
+   * progress. An exchange finishes automatically once it is committed by both voter sets.
    */
   proposeConfiguration(
     change: ConfigurationChange,
   ): { readonly index: number; readonly term: number } | null;
   /**
-   * Hands the lead to a voter, to the one that holds most of the log by default; returns whether
-   * the transfer has begun.
+   * Transfers leadership to a voter, by default to the one with the most up-to-date log. Returns
+   * whether the transfer has started.
    */
   transferLeadership(successor?: ReplicaId): boolean;
-  /** From now on others go first in elections, as this replica is about to stop. */
+  /** Delays this replica's elections from now on, because it is about to stop. */
   avoidLead(): void;
-  /** Whether a read of applied state is current now; waits for nothing. */
+  /** Whether a read of the applied state is linearizable now; does not wait. */
   canRead(): boolean;
   takeReady(): Ready;
   /** Confirms that everything of a `Ready` is on disk. */
   onSaved(ready: Ready): void;
-  /** The configuration as of an entry: what a snapshot up to it must hold. */
+  /** The configuration at an entry, which a snapshot up to that entry must contain. */
   configurationAt(index: number): Configuration;
-  /** The place to cut the log at `index`, or at its present beginning when that is later. */
+  /** The base for compacting the log up to `index`, or the current base if that is later. */
   baseFor(index: number): LogBase;
-  /** Forgets entries up to `baseIndex`, after a snapshot was saved. */
+  /** Drops entries up to `baseIndex` after a snapshot has been saved. */
   compact(baseIndex: number, snapshot: SnapshotMeta): void;
   status(): ReplicaStatus;
 }
@@ -128,7 +131,11 @@
   'timeout-now': startTransferElection,
 };
 
-/** Messages that carry a term without claiming it: a higher one is no reason to step down. */
+/**
+ * Messages whose higher term does not cause a step-down by itself: a pre-vote and its reply carry a
+ * prospective term, and a vote request is checked against the leader lease before its term is
+ * adopted.
+ */
 const TERM_NEUTRAL_KINDS: ReadonlySet<Message['kind']> = new Set([
   'pre-vote',
   'pre-vote-reply',
@@ -150,13 +157,13 @@
     savedHardState: hardState,
     leaderId: null,
     commitIndex: snapshot?.index ?? 0,
-    handedOutIndex: snapshot?.index ?? 0,
+    deliveredIndex: snapshot?.index ?? 0,
     termStartIndex: 0,
     becameLeaderMs: 0,
     lastLeaderContactMs: clock.steadyMs(),
     electionDeadlineMs: 0,
     isTransferElection: false,
-    isAvoidingLead: false,
+    isDeferringElections: false,
     transferTarget: null,
     transferDeadlineMs: 0,
     votes: new Map(),
@@ -171,7 +178,7 @@
   return state;
 }
 
-/** Members only, so that identities of the past do not pile up. */
+/** Records members only, so that former identities do not accumulate. */
 function recordContact(state: ReplicaState, from: ReplicaId): void {
   const members = listReplicas(state.log.configuration);
   if (members.includes(from)) state.receivedAtMs.set(from, state.clock.nowMs());
@@ -191,16 +198,17 @@
   const nowMs = state.clock.nowMs();
   if (state.role === 'leader') {
     checkQuorumContact(state);
-    // The request to take over may still be on its way, so the lease must not come back to
-    // life in this term: a transfer that did not finish ends the lead all the same.
-    const isTransferOver =
+    // The `timeout-now` message may still be in transit, so the lease must not become valid again
+    // in this term. The leader therefore steps down even if the transfer did not complete.
+    const hasTransferTimedOut =
       state.transferTarget !== null && state.clock.steadyMs() >= state.transferDeadlineMs;
-    if (isTransferOver) becomeFollower(state, state.term, null);
+    if (hasTransferTimedOut) becomeFollower(state, state.term, null);
     return;
   }
   if (nowMs < state.electionDeadlineMs) return;
   if (mayCampaign(state)) startPreVote(state);
-  // No other message shows a replica without a vote that it was removed while it was away.
+  // A non-voter receives no message if it was removed while it was unreachable, so it
+  // discards its leader when the timer expires.
   else state.leaderId = null;
 }
 
@@ -212,9 +220,9 @@
 }
 
 function takeCommitted(state: ReplicaState): readonly LogEntry[] {
-  const from = state.handedOutIndex + 1;
-  const committed = state.log.slice(from, state.commitIndex - state.handedOutIndex);
-  state.handedOutIndex += committed.length;
+  const from = state.deliveredIndex + 1;
+  const committed = state.log.slice(from, state.commitIndex - state.deliveredIndex);
+  state.deliveredIndex += committed.length;
   return committed;
 }
 
@@ -225,8 +233,8 @@
   state.pendingSnapshot = null;
   const { outbox } = state;
   state.outbox = [];
-  // A leader's entries may reach followers before its own disk: its copy is counted only
-  // after it was saved. Everything else is a promise that must be on disk first.
+  // A leader may send entries before they are on its own disk, because its own copy counts for the
+  // quorum only after the save. All other messages depend on state that must be on disk first.
   const isEarly = ({ kind }: Message) =>
     kind === 'append' && hardState === null && snapshot === null;
   return {
@@ -242,11 +250,11 @@
 function transferLeadership(state: ReplicaState, successor?: ReplicaId): boolean {
   if (state.role !== 'leader' || state.transferTarget !== null) return false;
   const { voters } = state.log.configuration;
-  const [best] = [...state.progress.entries()]
+  const [candidate] = [...state.progress.entries()]
     .filter(([id]) => voters.includes(id) && (successor === undefined || id === successor))
     .sort(([, a], [, b]) => b.matchIndex - a.matchIndex || b.ackedSentAtMs - a.ackedSentAtMs);
-  if (!best) return false;
-  const [target, progress] = best;
+  if (!candidate) return false;
+  const [target, progress] = candidate;
   state.transferTarget = target;
   state.transferDeadlineMs = state.clock.steadyMs() + state.timings.electionTimeoutMs;
   if (progress.matchIndex >= state.log.lastIndex)
@@ -268,7 +276,7 @@
   return { index, term: state.term };
 }
 
-function describe(state: ReplicaState): ReplicaStatus {
+function describeStatus(state: ReplicaState): ReplicaStatus {
   const { log } = state;
   return {
     id: state.id,
@@ -298,7 +306,7 @@
   };
 }
 
-/** Creates a replica from what its disk holds; see docs/design/replicated-log.md. */
+/** Creates a replica from its stored state; see docs/design/replicated-log.md. */
 export function createReplica(options: ReplicaOptions): Replica {
   const state = createState(options);
   return {
@@ -311,7 +319,7 @@
     proposeConfiguration: (change) => proposeConfiguration(state, change),
     transferLeadership: (successor) => transferLeadership(state, successor),
     avoidLead() {
-      state.isAvoidingLead = true;
+      state.isDeferringElections = true;
     },
     canRead: () => isLeaseValid(state) && state.commitIndex >= state.termStartIndex,
     takeReady: () => takeReady(state),
@@ -326,6 +334,6 @@
       return term === undefined ? state.log.base : { index, term };
     },
     compact: (baseIndex, snapshot) => state.log.compact(baseIndex, snapshot),
-    status: () => describe(state),
+    status: () => describeStatus(state),
   };
 }
--- a/packages/consensus/src/replicaState.ts
+++ b/packages/consensus/src/replicaState.ts
@@ -7,8 +7,8 @@
 export type ReplicaRole = 'follower' | 'pre-candidate' | 'candidate' | 'leader';
 
 /**
- * How the leader feeds one follower. `probe`: one message at a time until the logs are known
- * to match; `replicate`: messages follow each other without waiting; `snapshot`: in chunks.
+ * How the leader replicates to one follower. `probe`: one message at a time until the logs are
+ * known to match; `replicate`: pipelined without waiting for replies; `snapshot`: in chunks.
  */
 export type ProgressMode = 'probe' | 'replicate' | 'snapshot';
 
@@ -16,15 +16,15 @@
   mode: ProgressMode;
   matchIndex: number;
   nextIndex: number;
-  /** Latest send time, on the leader's clock, that the follower has answered. */
+  /** Latest send time, on the leader's clock, that the follower has acknowledged. */
   ackedSentAtMs: number;
-  /** When to send even though there is nothing new, or the last probe went unanswered. */
+  /** When to send even without new entries: a heartbeat, or a retry of an unanswered probe. */
   nextSendMs: number;
   snapshotOffset: number;
   snapshotIndex: number;
 }
 
-/** A snapshot on its way in. */
+/** A snapshot that is being received. */
 export interface IncomingSnapshot {
   readonly meta: SnapshotMeta;
   readonly from: ReplicaId;
@@ -34,15 +34,15 @@
 export interface ReplicaTimings {
   readonly electionTimeoutMs: number;
   readonly heartbeatIntervalMs: number;
-  /** Greatest number of entries in one message. */
+  /** Maximum number of entries in one message. */
   readonly maxBatchEntries: number;
-  /** Greatest number of entries on their way to one follower. */
+  /** Maximum number of unacknowledged entries sent to one follower. */
   readonly maxInFlightEntries: number;
 }
 
-/** Why a replica denied another one its vote. */
+/** Why a replica denied a vote. */
 export type VoteDenialReason =
-  /** It has heard a leader within an election timeout. */
+  /** It has received a message from a leader within an election timeout. */
   | 'leader-alive'
   /** Its own log is more up to date than the candidate's. */
   | 'log-behind'
@@ -59,7 +59,7 @@
   readonly isPreVote: boolean;
 }
 
-/** Everything a replica holds in memory; the functions of this package run over it. */
+/** The in-memory state of a replica, on which the functions of this package operate. */
 export interface ReplicaState {
   readonly id: ReplicaId;
   readonly group: string;
@@ -73,27 +73,27 @@
   savedHardState: HardState;
   leaderId: ReplicaId | null;
   commitIndex: number;
-  /** Index up to which committed entries were handed out to be applied. */
-  handedOutIndex: number;
+  /** Index up to which committed entries have been delivered to the caller for applying. */
+  deliveredIndex: number;
   /** Index of the first entry of this leader's term; reads wait until it is committed. */
   termStartIndex: number;
   becameLeaderMs: number;
-  /** By the steady time, as this replica's promise not to vote hangs on it. */
+  /** In `steadyMs` time, as the period in which this replica does not vote is measured from it. */
   lastLeaderContactMs: number;
   electionDeadlineMs: number;
   isTransferElection: boolean;
-  /** Whether it lets others go first in elections. */
-  isAvoidingLead: boolean;
+  /** Whether this replica delays its elections in favour of others. */
+  isDeferringElections: boolean;
   transferTarget: ReplicaId | null;
-  /** By the steady time. */
+  /** In `steadyMs` time. */
   transferDeadlineMs: number;
   readonly votes: Map<ReplicaId, boolean>;
-  /** When a message of each other replica last arrived here. */
+  /** When the last message from each other replica was received. */
   readonly receivedAtMs: Map<ReplicaId, number>;
   lastDenial: VoteDenial | null;
   readonly progress: Map<ReplicaId, Progress>;
   incomingSnapshot: IncomingSnapshot | null;
-  /** A received snapshot that is whole and waits to be installed. */
+  /** A completely received snapshot that has not been passed to the caller yet. */
   pendingSnapshot: { readonly meta: SnapshotMeta; readonly data: string } | null;
   outbox: Message[];
 }
@@ -102,32 +102,32 @@
   ? Omit<M, 'group' | 'from' | 'to' | 'term'> & { readonly term?: number }
   : never;
 
-/** Puts a message in the outbox, under the replica's own term unless another is given. */
+/** Adds a message to the outbox, with the replica's current term unless `body` has one. */
 export function queueMessage(state: ReplicaState, to: ReplicaId, body: Body<Message>): void {
   const envelope = { group: state.group, from: state.id, to };
   state.outbox.push({ ...envelope, ...body, term: body.term ?? state.term });
 }
 
-/** Election timeouts that a replica which avoids the lead leaves to others. */
-const AVOIDED_TURNS = 2;
+/** Additional election timeouts that a replica waits while it defers elections to others. */
+const DEFERRED_TIMEOUTS = 2;
 
-/** Sets the time of the next election: random, so that replicas rarely collide. */
+/** Sets a randomised time of the next election, so that split votes are rare. */
 export function resetElectionDeadline(state: ReplicaState): void {
   const { electionTimeoutMs } = state.timings;
-  // Not never: it may hold an entry that nobody else can be elected without.
-  const turns = state.isAvoidingLead ? AVOIDED_TURNS : 0;
+  // The election is delayed, not disabled: this replica may have the only log that can win.
+  const deferredTimeouts = state.isDeferringElections ? DEFERRED_TIMEOUTS : 0;
   state.electionDeadlineMs =
-    state.clock.nowMs() + electionTimeoutMs * (1 + turns + state.random.nextFloat());
+    state.clock.nowMs() + electionTimeoutMs * (1 + deferredTimeouts + state.random.nextFloat());
 }
 
-/** Share of the election timeout after which pre-votes are asked for again, at least. */
+/** Minimum delay before pre-votes are requested again, as a fraction of the election timeout. */
 const PRE_VOTE_RETRY_SHARE = 0.25;
-/** The same for votes, which have to reach two disks before they are answered. */
+/** The same for votes, which take longer as both candidate and voter save them to disk first. */
 const VOTE_RETRY_SHARE = 0.5;
 
 /**
- * Sets the time at which an election that nobody won is tried again. No leader was near when it
- * began, so there is none to wait for.
+ * Sets the time at which an undecided election is retried. No leader was active when it started,
+ * so the retry need not wait for a whole election timeout.
  */
 export function resetRetryDeadline(state: ReplicaState): void {
   const share = state.role === 'candidate' ? VOTE_RETRY_SHARE : PRE_VOTE_RETRY_SHARE;
@@ -135,15 +135,15 @@
   state.electionDeadlineMs = state.clock.nowMs() + retryMs * (1 + state.random.nextFloat());
 }
 
-/** Whether this replica votes by the newest configuration in its log. */
+/** Whether this replica is a voter in the newest configuration in its log. */
 export function isVoter(state: ReplicaState): boolean {
   return isVoterOf(state.log.configuration, state.id);
 }
 
 /**
- * Whether this replica may seek election: it votes by a configuration that may be in force. One
- * that is taken out by an entry which is not committed may be the only one that holds that entry,
- * and then nobody else can win.
+ * Whether this replica may start an election: it is a voter in a configuration that may be in
+ * force. A replica whose removal is not committed may be the only one that has stored the entry
+ * with the removal, and then no other replica can win an election.
  */
 export function mayCampaign(state: ReplicaState): boolean {
   const { id, log, commitIndex } = state;
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -5,7 +5,7 @@
 import { becomeFollower, isVoter, queueMessage, resetElectionDeadline } from './replicaState';
 import type { Progress, ReplicaState } from './replicaState';
 
-/** Part of the election timeout that a lease leaves unused, against clocks of unequal speed. */
+/** Fraction of the election timeout that a lease leaves unused, to allow for clock drift. */
 const LEASE_MARGIN = 0.1;
 
 function createProgress(state: ReplicaState): Progress {
@@ -20,7 +20,7 @@
   };
 }
 
-/** Makes the leader's list of followers that of the configuration. */
+/** Updates the leader's follower progress to match the configuration. */
 function syncProgress(state: ReplicaState): void {
   const others = listReplicas(state.log.configuration).filter((id) => id !== state.id);
   [...state.progress.keys()]
@@ -31,7 +31,7 @@
     .forEach((id) => state.progress.set(id, createProgress(state)));
 }
 
-/** Adds an entry to the leader's log and returns its index. */
+/** Appends an entry to the leader's log and returns its index. */
 export function appendAsLeader(state: ReplicaState, payload: EntryPayload): number {
   const index = state.log.lastIndex + 1;
   state.log.append([{ index, term: state.term, payload }]);
@@ -39,7 +39,7 @@
   return index;
 }
 
-/** Takes the lead of the current term; its first entry commits what earlier terms left. */
+/** Becomes leader of the current term; its first entry commits entries of earlier terms. */
 export function becomeLeader(state: ReplicaState): void {
   state.role = 'leader';
   state.leaderId = state.id;
@@ -51,7 +51,7 @@
   state.termStartIndex = appendAsLeader(state, { kind: 'noop' });
 }
 
-/** The value that a majority of each set of voters reaches. */
+/** The highest value that a majority of each voter set has reached. */
 function quorumValue(state: ReplicaState, valueOf: (id: ReplicaId) => number): number {
   const reached = voterSets(state.log.configuration).map((voters) => {
     const values = voters.map(valueOf).sort((a, b) => b - a);
@@ -60,7 +60,7 @@
   return Math.min(...reached);
 }
 
-/** Latest time at which a quorum is known to have heard this leader. */
+/** Latest send time that a quorum is known to have acknowledged. */
 function quorumContactMs(state: ReplicaState): number {
   const nowMs = state.clock.nowMs();
   return quorumValue(state, (id) =>
@@ -68,14 +68,14 @@
   );
 }
 
-/** Whether no other leader can have been elected yet, so that reads are current. */
+/** Whether no other leader can have been elected yet, so that reads are linearizable. */
 export function isLeaseValid(state: ReplicaState): boolean {
   if (state.role !== 'leader' || state.transferTarget !== null) return false;
   const leaseMs = state.timings.electionTimeoutMs * (1 - LEASE_MARGIN);
   return state.clock.nowMs() < quorumContactMs(state) + leaseMs;
 }
 
-/** Gives up the lead when a quorum has not answered for an election timeout. */
+/** Steps down if a quorum has not replied within an election timeout. */
 export function checkQuorumContact(state: ReplicaState): void {
   const { electionTimeoutMs } = state.timings;
   const contactMs = Math.max(quorumContactMs(state), state.becameLeaderMs);
@@ -83,20 +83,20 @@
 }
 
 /**
- * Finishes an exchange of voters once both sets have agreed to it, also one that an earlier leader
- * began. After that the old voters are not asked any more.
+ * Finishes an exchange of voters once both voter sets have committed it, also if an earlier leader
+ * started it. From then on the previous voters no longer count for a quorum.
  */
 function finishExchangeIfDue(state: ReplicaState): void {
   const { log } = state;
-  const isAgreed = state.commitIndex >= log.configurationIndex;
-  if (!isAgreed || !log.configuration.outgoing || state.transferTarget !== null) return;
+  const isCommitted = state.commitIndex >= log.configurationIndex;
+  if (!isCommitted || !log.configuration.outgoing || state.transferTarget !== null) return;
   appendAsLeader(state, {
     kind: 'configuration',
     configuration: finishExchange(log.configuration),
   });
 }
 
-/** Commits what a quorum has on disk, provided it is of this leader's term. */
+/** Commits entries that a quorum has on disk, provided the last one is of this leader's term. */
 export function advanceCommit(state: ReplicaState): void {
   if (state.role !== 'leader') return;
   const index = quorumValue(state, (id) =>
@@ -139,8 +139,8 @@
     return;
   }
   const inFlight = prevIndex - progress.matchIndex;
-  const hasRoom = progress.mode === 'probe' || inFlight < timings.maxInFlightEntries;
-  const entries = hasRoom ? log.slice(progress.nextIndex, timings.maxBatchEntries) : [];
+  const isWithinWindow = progress.mode === 'probe' || inFlight < timings.maxInFlightEntries;
+  const entries = isWithinWindow ? log.slice(progress.nextIndex, timings.maxBatchEntries) : [];
   queueMessage(state, to, {
     kind: 'append',
     prevIndex,
@@ -159,7 +159,7 @@
   return progress.nextIndex <= state.log.lastIndex && inFlight < state.timings.maxInFlightEntries;
 }
 
-/** Queues what followers are due: new entries, chunks of a snapshot, or a heartbeat. */
+/** Queues pending messages for each follower: new entries, snapshot chunks or a heartbeat. */
 export function flushReplication(state: ReplicaState): void {
   if (state.role !== 'leader') return;
   state.progress.forEach((progress, id) => {
@@ -177,7 +177,7 @@
   resetElectionDeadline(state);
 }
 
-/** Where the leader should try next after a mismatch: the start of the conflicting term. */
+/** Index at which the leader should retry after a mismatch: just before the conflicting term. */
 function findRetryIndex(state: ReplicaState, prevIndex: number): number {
   const { log } = state;
   if (prevIndex > log.lastIndex) return log.lastIndex;
@@ -207,7 +207,7 @@
       matchIndex,
       sentAtMs,
     });
-  // Entries before the log in memory are committed and therefore match.
+  // Entries before the base of the log are committed and therefore match.
   const isBeforeBase = message.prevIndex < log.base.index;
   if (!isBeforeBase && log.termAt(message.prevIndex) !== message.prevTerm) {
     reply(false, findRetryIndex(state, message.prevIndex));
@@ -239,7 +239,7 @@
     return;
   }
   if (message.matchIndex > progress.matchIndex) progress.matchIndex = message.matchIndex;
-  // In snapshot mode this answers the last chunk: the follower holds the snapshot now.
+  // In snapshot mode, an accepted reply confirms that the follower has installed the snapshot.
   if (progress.mode !== 'replicate') {
     progress.mode = 'replicate';
     progress.nextIndex = progress.matchIndex + 1;
--- a/packages/consensus/src/snapshotTransfer.ts
+++ b/packages/consensus/src/snapshotTransfer.ts
@@ -1,9 +1,9 @@
-/** Receiving a snapshot in chunks, and the leader's side of the answers. */
+/** Receives a snapshot in chunks, and processes the follower's replies on the leader. */
 import type { MessageOf } from './messages';
 import { becomeFollower, queueMessage, resetElectionDeadline } from './replicaState';
 import type { ReplicaState } from './replicaState';
 
-function acceptAsAppended(
+function replyAccepted(
   state: ReplicaState,
   message: MessageOf<'snapshot'>,
   matchIndex: number,
@@ -17,13 +17,13 @@
   });
 }
 
-function installWhole(state: ReplicaState, message: MessageOf<'snapshot'>, data: string): void {
+function installSnapshot(state: ReplicaState, message: MessageOf<'snapshot'>, data: string): void {
   const { meta } = message;
   state.pendingSnapshot = { meta, data };
   state.log.reset(meta);
   state.commitIndex = meta.index;
-  state.handedOutIndex = meta.index;
-  acceptAsAppended(state, message, meta.index);
+  state.deliveredIndex = meta.index;
+  replyAccepted(state, message, meta.index);
 }
 
 export function receiveSnapshot(state: ReplicaState, message: MessageOf<'snapshot'>): void {
@@ -35,25 +35,26 @@
   resetElectionDeadline(state);
   const { meta } = message;
   if (meta.index <= state.commitIndex) {
-    acceptAsAppended(state, message, state.commitIndex);
+    replyAccepted(state, message, state.commitIndex);
     return;
   }
-  // Entries after the snapshot may already have been acknowledged, so they are kept.
+  // The log contains the snapshot's last entry. Later entries are kept, as they may already have
+  // been acknowledged.
   if (state.log.termAt(meta.index) === meta.term) {
     state.commitIndex = meta.index;
-    acceptAsAppended(state, message, meta.index);
+    replyAccepted(state, message, meta.index);
     return;
   }
-  const isSame =
+  const isSameTransfer =
     state.incomingSnapshot?.meta.index === meta.index &&
     state.incomingSnapshot.from === message.from;
-  if (!isSame) state.incomingSnapshot = { meta, from: message.from, data: '' };
+  if (!isSameTransfer) state.incomingSnapshot = { meta, from: message.from, data: '' };
   const incoming = state.incomingSnapshot;
   if (!incoming) return;
   if (message.offset === incoming.data.length) {
     incoming.data += message.data;
     if (message.isLast) {
-      installWhole(state, message, incoming.data);
+      installSnapshot(state, message, incoming.data);
       return;
     }
   }
