--- a/packages/consensus/__tests__/groupBootstrap.spec.ts
+++ b/packages/consensus/__tests__/groupBootstrap.spec.ts
@@ -5,11 +5,11 @@
 
 const GROUP: Configuration = { voters: ['vm1#a', 'vm2#b', 'vm3#c'], learners: [] };
 
-describe('a blank control VM', () => {
+describe('a control VM with an empty folder', () => {
   const blank = (replicaId: string) => ({ replicaId, configuration: null });
   const member = (replicaId: string) => ({ replicaId, configuration: GROUP });
 
-  it('founds a group only when every other one is blank too', () => {
+  it('creates a group only if all others have empty folders too', () => {
     const step = decideBootstrap({ self: 'vm1#x', others: [blank('vm2#y'), blank('vm3#z')] });
     assert.deepEqual(step, {
       kind: 'found',
@@ -17,14 +17,14 @@
     });
   });
 
-  it('waits for one that does not answer, which may hold everything', () => {
+  it('waits for a VM that does not reply, as it may hold committed state', () => {
     assert.equal(
       decideBootstrap({ self: 'vm1#x', others: [blank('vm2#y'), undefined] }).kind,
       'wait',
     );
   });
 
-  it('founds it without a VM that has no disk, and will never vote', () => {
+  it('creates the group without a VM that has no disk and never votes', () => {
     const step = decideBootstrap({
       self: 'vm1#x',
       others: [blank('vm2#y'), { replicaId: null, configuration: null }],
@@ -33,14 +33,14 @@
     assert.deepEqual(step.kind === 'found' && step.configuration.voters, ['vm1#x', 'vm2#y']);
   });
 
-  it('leaves it to one of them to found the group', () => {
+  it('leaves the creation of the group to the VM with the lowest id', () => {
     assert.equal(
       decideBootstrap({ self: 'vm2#y', others: [blank('vm1#x'), blank('vm3#z')] }).kind,
       'wait',
     );
   });
 
-  it('joins a group that does not know this life of its disk, and takes part in one that does', () => {
+  it('joins a group without its replica identity and starts in a group that has it as a member', () => {
     assert.equal(
       decideBootstrap({ self: 'vm1#new', others: [member('vm2#b'), undefined] }).kind,
       'join',
--- a/packages/consensus/__tests__/groupRecovery.spec.ts
+++ b/packages/consensus/__tests__/groupRecovery.spec.ts
@@ -17,8 +17,8 @@
   };
 }
 
-describe('a group whose majority is gone for good', () => {
-  it('goes on from the only copy, and says who is missing and what may be lost', () => {
+describe('a group that has permanently lost its majority', () => {
+  it('recovers from the only copy and reports the missing voters and the possible loss', () => {
     assert.deepEqual(decideRecovery([createCopy()]), {
       kind: 'recover',
       copy: createCopy(),
@@ -27,14 +27,14 @@
     });
   });
 
-  it('goes on from the copy of the latest term, and of those from the longest', () => {
+  it('recovers from the longest copy of the latest term', () => {
     const standby = createCopy({ replicaId: 'vm4#d', lastIndex: 22 });
     const longer = createCopy({ replicaId: 'vm5#e', lastIndex: 40, lastTerm: 2 });
     const decision = decideRecovery([createCopy(), longer, standby]);
     assert.equal(decision.kind === 'recover' && decision.copy.replicaId, 'vm4#d');
   });
 
-  it('leaves copies of an earlier generation out', () => {
+  it('ignores copies of an earlier generation', () => {
     const old = createCopy({ replicaId: 'vm2#b', lastIndex: 90, lastTerm: 9 });
     const decision = decideRecovery([old, createCopy({ generation: 1 })]);
     assert.equal(decision.kind === 'recover' && decision.copy.replicaId, 'vm1#a');
@@ -42,14 +42,14 @@
 });
 
 describe('a recovery is refused', () => {
-  it('while a majority can be reached, by any configuration that a copy holds', () => {
+  it('while a majority is reachable in the configuration of any copy', () => {
     const second = createCopy({ replicaId: 'vm2#b' });
     assert.equal(decideRecovery([createCopy(), second]).kind, 'refuse');
     const newer = createCopy({ configuration: { voters: ['vm1#a'], learners: [] }, lastIndex: 21 });
     assert.equal(decideRecovery([newer]).kind, 'refuse');
   });
 
-  it('where the copies contradict each other', () => {
+  it('if the copies are inconsistent', () => {
     const ahead = createCopy({
       replicaId: 'vm4#d',
       lastTerm: 2,
@@ -60,7 +60,7 @@
     assert.equal(decision.kind, 'refuse');
   });
 
-  it('where there is no copy', () => {
+  it('if there is no copy', () => {
     assert.equal(decideRecovery([]).kind, 'refuse');
   });
 });
--- a/packages/consensus/__tests__/groupRunner.spec.ts
+++ b/packages/consensus/__tests__/groupRunner.spec.ts
@@ -18,9 +18,9 @@
   readonly snapshots: SnapshotMeta[];
   readonly applied: JsonValue[];
   readonly storageStates: (string | null)[];
-  /** Lets the disk be full, or not. */
+  /** Simulates a full disk. */
   setFull(isFull: boolean): void;
-  /** Runs timers that are due after time has passed. */
+  /** Advances time and runs the timers that are due. */
   advance(durationMs: number): Promise<void>;
 }
 
@@ -109,7 +109,7 @@
 }
 
 describe('group runner', () => {
-  it('writes commands that come together with one save', async () => {
+  it('writes concurrent commands with one save', async () => {
     const { runner, saves, applied, advance } = await createFixture();
     await advance(2500);
     const before = saves.length;
@@ -122,7 +122,7 @@
     assert.equal(saves.length - before, 1);
   });
 
-  it('stands still on a full disk, says so once, and goes on when there is room', async () => {
+  it('pauses on a full disk, reports it once, and resumes when there is space', async () => {
     const { runner, applied, storageStates, setFull, advance } = await createFixture();
     await advance(2500);
     setFull(true);
@@ -138,11 +138,11 @@
   });
 
   /**
-   * A snapshot named the newest configuration in the log, which may stand behind the entries that
-   * it covers and be taken back. A replica that had cut its log there went on with voters that
-   * the group never agreed on.
+   * Guards against a snapshot with the newest configuration in the log, which may come from an
+   * entry after the ones it covers and be overwritten. A replica that compacted its log there
+   * continued with voters that the group never committed.
    */
-  it('puts the configuration of the last entry that a snapshot covers into it', async () => {
+  it('stores the configuration at the last covered entry in a snapshot', async () => {
     const { runner, snapshots, advance } = await createFixture({
       voters: ['a', 'b', 'c'],
       snapshotEveryEntries: 1,
@@ -176,7 +176,7 @@
     ]);
   });
 
-  it('refuses commands, as not run, when it does not lead', async () => {
+  it('refuses commands with the outcome not-run if it is not the leader', async () => {
     const { runner } = await createFixture();
     await assert.rejects(runner.propose('early'), { code: 'not-leader', outcome: 'not-run' });
   });
--- a/packages/consensus/__tests__/groupSchedules.ts
+++ b/packages/consensus/__tests__/groupSchedules.ts
@@ -1,6 +1,6 @@
 /**
- * Random schedules of losses that a group's settings say are borne: so many VMs lost at a time,
- * and each lost until so long after it, or the VM that takes its place, has started.
+ * Random schedules of losses that a group must tolerate by its settings: up to `lossesBorne` VMs at
+ * a time, where a VM counts as lost until `catchUpMs` after it or its replacement has started.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -11,172 +11,186 @@
 
 export interface GroupScheduleOptions {
   readonly seed: number;
-  /** VMs with a disk at the start. */
+  /** Number of initial VMs with a disk. */
   readonly size: number;
-  /** Data centres over which they are spread. */
+  /** Number of data centres over which they are spread. */
   readonly dataCentres: number;
-  /** VMs that may be lost at a time. */
+  /** Number of VMs that may be lost at the same time. */
   readonly lossesBorne: number;
-  /** How long a VM counts as lost after it has started, in milliseconds. */
+  /** How long a VM counts as lost after it has started. */
   readonly catchUpMs: number;
-  /** Losses in a row, in each of the slots that may be lost at a time. */
+  /** Number of consecutive losses in each of the `lossesBorne` slots. */
   readonly lossesInRow: number;
 }
 
 export interface GroupScheduleResult {
-  /** Time in the calm after the losses until a leader is confirmed; null when none ever is. */
+  /** Time after the last loss until a leader is confirmed; null if none is. */
   readonly confirmedAfterMs: number | null;
-  /** Time in the calm until every VM that runs belongs to the group; null when some never do. */
+  /** Time after the last loss until every running VM is a member; null if some never are. */
   readonly completeAfterMs: number | null;
-  /** Whether the leader lacks what was acknowledged. */
+  /** Whether the leader lacks acknowledged entries. */
   readonly hasLostCommits: boolean;
   readonly losses: readonly string[];
 }
 
-interface World {
+interface ScheduleContext {
   readonly group: MemoryGroup;
   readonly random: Random;
   readonly catchUpMs: number;
-  /** VMs that are struck now: another slot leaves them alone. */
-  readonly struck: Set<GroupVm>;
-  /** Runs something when its time has come. */
+  /** VMs with a current fault, which other slots do not select. */
+  readonly affectedVms: Set<GroupVm>;
+  /** Runs a function after a delay in virtual time. */
   schedule(delayMs: number, run: () => void): void;
-  /** Tells that the VM is back, or its successor is there: it counts as lost a while longer. */
-  settle(regain: () => void): void;
-  /** Until when all VMs count as lost, as all of them lost their power. */
+  /** Called when the VM or its replacement runs; calls back once it no longer counts as lost. */
+  recoverAfterDelay(onRecovered: () => void): void;
+  /** Time until which all VMs count as lost after a power failure of all of them. */
   allLostUntilMs: number;
 }
 
-/** Strikes a VM, and tells when it no longer counts as lost. */
-type Loss = (world: World, victim: GroupVm, regain: () => void) => void;
+/** Injects a fault into a VM and calls back once the VM no longer counts as lost. */
+type Fault = (context: ScheduleContext, victim: GroupVm, onRecovered: () => void) => void;
 
 const ELECTION_MS = 3000;
 const MAX_AWAY_MS = 2500;
 const MAX_PAUSE_MS = 500;
-const CALM_LIMIT_MS = 15_000;
+const RECOVERY_LIMIT_MS = 15_000;
 const STEP_MS = 50;
-/** A process that is asked to stop is killed after this. */
+/** Time after which a process that was requested to stop is killed. */
 const GRACE_MS = 2000;
-const MAX_HERD_MS = 1000;
-/** In one of so many schedules all VMs lose their power, in the middle or with the last loss. */
-const HERDS_OF = 3;
-const HERD_WITHIN_MS = 12_000;
+const MAX_POWER_OFF_MS = 1000;
+/** One in this many schedules has a power failure of all VMs midway, or with a last loss. */
+const SCHEDULES_PER_POWER_CYCLE = 3;
+const MAX_POWER_CYCLE_DELAY_MS = 12_000;
 
-const draw = ({ random }: World, limitMs: number) => random.nextInt(limitMs);
+const randomInt = ({ random }: ScheduleContext, limitMs: number) => random.nextInt(limitMs);
 
-/** The VM stands still, or is cut off, and is as before after a while. */
-function disturb(change: (vm: GroupVm, isBegun: boolean, world: World) => void): Loss {
-  return (world, victim, regain) => {
-    change(victim, true, world);
-    world.schedule(draw(world, MAX_AWAY_MS), () => {
-      change(victim, false, world);
-      world.settle(regain);
+/** Creates a fault that ends after a random time. */
+function createTemporaryFault(
+  change: (vm: GroupVm, isBegun: boolean, context: ScheduleContext) => void,
+): Fault {
+  return (context, victim, onRecovered) => {
+    change(victim, true, context);
+    context.schedule(randomInt(context, MAX_AWAY_MS), () => {
+      change(victim, false, context);
+      context.recoverAfterDelay(onRecovered);
     });
   };
 }
 
-function addSuccessor(world: World, victim: GroupVm, regain: () => void): GroupVm {
-  world.settle(regain);
-  return world.group.addVm(victim.dataCentre);
+function addSuccessor(context: ScheduleContext, victim: GroupVm, onRecovered: () => void): GroupVm {
+  context.recoverAfterDelay(onRecovered);
+  return context.group.addVm(victim.dataCentre);
 }
 
-/** Asks the process of a VM to stop, and takes the VM away when it has, or after its grace. */
-function stopForGood(world: World, vm: GroupVm, onGone: () => void): void {
-  const { group } = world;
+/** Requests the shutdown of a VM's process and removes the VM once it is done or killed. */
+function stopForGood(context: ScheduleContext, vm: GroupVm, onGone: () => void): void {
+  const { group } = context;
   const killedAtMs = group.nowMs + GRACE_MS;
-  const look = () => {
-    if (MemoryGroup.isReadyToEnd(vm) || group.nowMs >= killedAtMs) {
+  const poll = () => {
+    if (MemoryGroup.tryShutDown(vm) || group.nowMs >= killedAtMs) {
       group.remove(vm);
       onGone();
-    } else world.schedule(STEP_MS, look);
+    } else context.schedule(STEP_MS, poll);
   };
-  look();
+  poll();
 }
 
-const loseDisk: Loss = (world, victim, regain) => {
-  world.group.loseDisk(victim);
-  world.schedule(draw(world, MAX_AWAY_MS), () => {
-    world.group.start(victim);
-    world.settle(regain);
+const loseDisk: Fault = (context, victim, onRecovered) => {
+  context.group.loseDisk(victim);
+  context.schedule(randomInt(context, MAX_AWAY_MS), () => {
+    context.group.start(victim);
+    context.recoverAfterDelay(onRecovered);
   });
 };
-const disturbPower = disturb((vm, isBegun, { group }) => {
+const losePower = createTemporaryFault((vm, isBegun, { group }) => {
   if (isBegun) group.stop(vm);
   else group.start(vm);
 });
-const freeze = disturb(({ node }, isBegun, { group }) => {
+const freeze = createTemporaryFault(({ node }, isBegun, { group }) => {
   if (isBegun) group.cluster.freeze(node);
-  else group.cluster.thaw(node);
+  else group.cluster.unfreeze(node);
 });
-const cutOff = disturb(({ node }, isBegun) => {
-  node.isCut = isBegun;
+const partition = createTemporaryFault(({ node }, isBegun) => {
+  node.isPartitioned = isBegun;
 });
-const deafen = disturb(({ node }, isBegun) => {
-  node.isDeaf = isBegun;
+const blockInbound = createTemporaryFault(({ node }, isBegun) => {
+  node.isInboundBlocked = isBegun;
 });
-const silence = disturb(({ node }, isBegun) => {
-  node.isMute = isBegun;
+const blockOutbound = createTemporaryFault(({ node }, isBegun) => {
+  node.isOutboundBlocked = isBegun;
 });
-/** What may strike a VM that stays. */
-const STRIKES: readonly Loss[] = [loseDisk, disturbPower, freeze, cutOff, deafen, silence];
+/** Faults of a VM that is not replaced. */
+const NEWCOMER_FAULTS: readonly Fault[] = [
+  loseDisk,
+  losePower,
+  freeze,
+  partition,
+  blockInbound,
+  blockOutbound,
+];
 
-/** All VMs that run lose their power, and are back within a second with the disks they had. */
-function herd(world: World): void {
-  const { group, catchUpMs } = world;
-  const struck = group.vms.filter(({ isRunning }) => isRunning);
-  const awayMs = draw(world, MAX_HERD_MS);
-  world.allLostUntilMs = group.nowMs + awayMs + catchUpMs;
-  struck.forEach((vm) => group.stop(vm));
-  world.schedule(awayMs, () => struck.forEach((vm) => group.start(vm)));
+/** Cuts the power of all running VMs, which restart within 1 s with their disks intact. */
+function powerCycleAll(context: ScheduleContext): void {
+  const { group, catchUpMs } = context;
+  const affectedVms = group.vms.filter(({ isRunning }) => isRunning);
+  const awayMs = randomInt(context, MAX_POWER_OFF_MS);
+  context.allLostUntilMs = group.nowMs + awayMs + catchUpMs;
+  affectedVms.forEach((vm) => group.stop(vm));
+  context.schedule(awayMs, () => affectedVms.forEach((vm) => group.start(vm)));
 }
 
-const LOSSES: Readonly<Record<string, Loss>> = {
-  replacedOldFirst(world, victim, regain) {
-    world.group.remove(victim);
-    world.schedule(draw(world, MAX_AWAY_MS), () => addSuccessor(world, victim, regain));
+const FAULTS: Readonly<Record<string, Fault>> = {
+  replacedOldFirst(context, victim, onRecovered) {
+    context.group.remove(victim);
+    context.schedule(randomInt(context, MAX_AWAY_MS), () =>
+      addSuccessor(context, victim, onRecovered),
+    );
   },
-  replacedWhileJoining(world, victim, regain) {
-    addSuccessor(world, victim, regain);
-    world.schedule(draw(world, world.catchUpMs / 2), () => world.group.remove(victim));
+  replacedWhileJoining(context, victim, onRecovered) {
+    addSuccessor(context, victim, onRecovered);
+    context.schedule(randomInt(context, context.catchUpMs / 2), () => context.group.remove(victim));
   },
-  replacedOldLast(world, victim, regain) {
-    addSuccessor(world, victim, () => stopForGood(world, victim, regain));
+  replacedOldLast(context, victim, onRecovered) {
+    addSuccessor(context, victim, () => stopForGood(context, victim, onRecovered));
   },
-  replacedTwice(world, victim, regain) {
-    const livesMs = draw(world, world.catchUpMs);
-    world.group.remove(victim);
-    world.schedule(draw(world, MAX_AWAY_MS), () => {
-      const first = world.group.addVm(victim.dataCentre);
-      world.schedule(livesMs, () => {
-        world.group.remove(first);
-        addSuccessor(world, victim, regain);
+  replacedTwice(context, victim, onRecovered) {
+    const firstLifetimeMs = randomInt(context, context.catchUpMs);
+    context.group.remove(victim);
+    context.schedule(randomInt(context, MAX_AWAY_MS), () => {
+      const first = context.group.addVm(victim.dataCentre);
+      context.schedule(firstLifetimeMs, () => {
+        context.group.remove(first);
+        addSuccessor(context, victim, onRecovered);
       });
     });
   },
-  newcomerStruck(world, victim, regain) {
-    world.group.remove(victim);
-    world.schedule(draw(world, MAX_AWAY_MS), () => {
-      const newcomer = world.group.addVm(victim.dataCentre);
-      const strikeNewcomer = STRIKES[draw(world, STRIKES.length)] ?? disturbPower;
-      world.schedule(draw(world, world.catchUpMs), () => strikeNewcomer(world, newcomer, regain));
+  newcomerFails(context, victim, onRecovered) {
+    context.group.remove(victim);
+    context.schedule(randomInt(context, MAX_AWAY_MS), () => {
+      const newcomer = context.group.addVm(victim.dataCentre);
+      const injectNewcomerFault =
+        NEWCOMER_FAULTS[randomInt(context, NEWCOMER_FAULTS.length)] ?? losePower;
+      context.schedule(randomInt(context, context.catchUpMs), () =>
+        injectNewcomerFault(context, newcomer, onRecovered),
+      );
     });
   },
   diskLost: loseDisk,
-  powerLost: disturbPower,
+  powerLost: losePower,
   frozen: freeze,
-  cutOff,
-  deaf: deafen,
-  mute: silence,
+  partitioned: partition,
+  inboundBlocked: blockInbound,
+  outboundBlocked: blockOutbound,
 };
-/** Replacements come as often as everything else together. */
-const DRAWN = Object.keys(LOSSES).flatMap((name) =>
+/** Replacements have double weight. */
+const WEIGHTED_FAULT_NAMES = Object.keys(FAULTS).flatMap((name) =>
   name.startsWith('replaced') ? [name, name] : [name],
 );
 
-function pickVictim({ group, random, struck }: World): GroupVm | undefined {
+function pickVictim({ group, random, affectedVms }: ScheduleContext): GroupVm | undefined {
   const leader = group.confirmedLeader();
-  if (leader && !struck.has(leader) && random.nextInt(2) === 0) return leader;
-  const others = group.vms.filter((vm) => vm.isRunning && !struck.has(vm));
+  if (leader && !affectedVms.has(leader) && random.nextInt(2) === 0) return leader;
+  const others = group.vms.filter((vm) => vm.isRunning && !affectedVms.has(vm));
   return others[random.nextInt(Math.max(1, others.length))];
 }
 
@@ -186,12 +200,12 @@
   return vms.every(({ isRunning, node }) => !isRunning || members.includes(node.id));
 }
 
-function watchCalm(
+function observeRecovery(
   group: MemoryGroup,
 ): Pick<GroupScheduleResult, 'confirmedAfterMs' | 'completeAfterMs'> {
   const startedAtMs = group.nowMs;
   let confirmedAfterMs: number | null = null;
-  while (group.nowMs - startedAtMs < CALM_LIMIT_MS) {
+  while (group.nowMs - startedAtMs < RECOVERY_LIMIT_MS) {
     const leader = group.confirmedLeader();
     if (leader) confirmedAfterMs ??= group.nowMs - startedAtMs;
     if (leader && isComplete(group, leader)) {
@@ -202,7 +216,7 @@
   return { confirmedAfterMs, completeAfterMs: null };
 }
 
-/** Plays one schedule, and the calm after it. */
+/** Runs one schedule and observes the recovery after it. */
 export function runGroupSchedule(options: GroupScheduleOptions): GroupScheduleResult {
   const { seed, size, dataCentres, lossesBorne, catchUpMs, lossesInRow } = options;
   const promise = { lossesBorne, catchUpMs };
@@ -210,49 +224,50 @@
   const { random } = group.cluster;
   const due: { readonly atMs: number; readonly run: () => void }[] = [];
   const losses: string[] = [];
-  /** After the last losses the calm begins at once. */
-  const lastRegains = new Set<() => void>();
-  const world: World = {
+  /** Callbacks of the last losses, after which the recovery is observed without a delay. */
+  const finalRecoveries = new Set<() => void>();
+  const context: ScheduleContext = {
     group,
     random,
     catchUpMs,
-    struck: new Set(),
+    affectedVms: new Set(),
     schedule(delayMs, run) {
       due.push({ atMs: group.nowMs + delayMs, run });
     },
-    settle(regain) {
-      if (lastRegains.has(regain)) return;
-      const regainOrWait = () => {
-        const leftMs = world.allLostUntilMs - group.nowMs;
-        if (leftMs > 0) world.schedule(leftMs, regainOrWait);
-        else regain();
+    recoverAfterDelay(onRecovered) {
+      if (finalRecoveries.has(onRecovered)) return;
+      const recoverOrWait = () => {
+        const leftMs = context.allLostUntilMs - group.nowMs;
+        if (leftMs > 0) context.schedule(leftMs, recoverOrWait);
+        else onRecovered();
       };
-      world.schedule(catchUpMs, regainOrWait);
+      context.schedule(catchUpMs, recoverOrWait);
     },
     allLostUntilMs: 0,
   };
 
-  function strike(left: number): void {
-    const victim = pickVictim(world);
-    const name = DRAWN[random.nextInt(DRAWN.length)] ?? '';
-    const loss = LOSSES[name];
-    if (!victim || !loss) return;
+  function injectFault(left: number): void {
+    const victim = pickVictim(context);
+    const name = WEIGHTED_FAULT_NAMES[random.nextInt(WEIGHTED_FAULT_NAMES.length)] ?? '';
+    const inject = FAULTS[name];
+    if (!victim || !inject) return;
     losses.push(`${group.nowMs}: ${victim.node.vmId} ${name}`);
-    world.struck.add(victim);
-    const regain = () => {
-      world.struck.delete(victim);
-      if (left > 1) world.schedule(draw(world, MAX_PAUSE_MS), () => strike(left - 1));
+    context.affectedVms.add(victim);
+    const onRecovered = () => {
+      context.affectedVms.delete(victim);
+      if (left > 1) context.schedule(randomInt(context, MAX_PAUSE_MS), () => injectFault(left - 1));
     };
-    if (left === 1) lastRegains.add(regain);
-    if (left === 1 && draw(world, HERDS_OF) === 0) herd(world);
-    loss(world, victim, regain);
+    if (left === 1) finalRecoveries.add(onRecovered);
+    if (left === 1 && randomInt(context, SCHEDULES_PER_POWER_CYCLE) === 0) powerCycleAll(context);
+    inject(context, victim, onRecovered);
   }
 
   group.run(ELECTION_MS);
   for (let slot = 0; slot < lossesBorne; slot += 1) {
-    world.schedule(draw(world, MAX_AWAY_MS), () => strike(lossesInRow));
+    context.schedule(randomInt(context, MAX_AWAY_MS), () => injectFault(lossesInRow));
   }
-  if (draw(world, HERDS_OF) === 0) world.schedule(draw(world, HERD_WITHIN_MS), () => herd(world));
+  if (randomInt(context, SCHEDULES_PER_POWER_CYCLE) === 0)
+    context.schedule(randomInt(context, MAX_POWER_CYCLE_DELAY_MS), () => powerCycleAll(context));
   while (due.length > 0) {
     due.sort((a, b) => a.atMs - b.atMs);
     const [next] = due.splice(0, 1);
@@ -260,11 +275,11 @@
     if (next.atMs > group.nowMs) group.run(next.atMs - group.nowMs);
     next.run();
   }
-  const calm = watchCalm(group);
+  const recovery = observeRecovery(group);
   const leader = group.confirmedLeader();
   const acked = group.cluster.ackedIndex;
   return {
-    ...calm,
+    ...recovery,
     hasLostCommits: leader !== undefined && leader.node.appliedIndex < acked,
     losses,
   };
@@ -274,7 +289,7 @@
 const SCHEDULES = 10_000;
 const CONFIRMED_WITHIN_MS = 5000;
 const COMPLETE_WITHIN_MS = 10_000;
-/** What the settings of a group may say. */
+/** The group settings under test. */
 const GROUPS: readonly Omit<GroupScheduleOptions, 'seed'>[] = [
   { size: 3, dataCentres: 3, lossesBorne: 1, catchUpMs: 4000, lossesInRow: 3 },
   { size: 3, dataCentres: 1, lossesBorne: 1, catchUpMs: 2000, lossesInRow: 4 },
@@ -283,27 +298,30 @@
   { size: 3, dataCentres: 3, lossesBorne: 1, catchUpMs: 2000, lossesInRow: 3 },
 ];
 
-/** What the schedule of a seed is played with. */
+/** The options of the schedule with a seed. */
 export function optionsOf(seed: number): GroupScheduleOptions {
   const options = GROUPS[seed % GROUPS.length];
   assert.ok(options);
   return { seed, ...options };
 }
 
-/** Says what the settings promise and a schedule did not keep; null when it kept everything. */
+/** Returns which requirement of the settings a schedule violated, or null if none. */
 export function findProblem(result: GroupScheduleResult): string | null {
   const { confirmedAfterMs, completeAfterMs, hasLostCommits } = result;
-  if (hasLostCommits) return 'what was acknowledged is gone';
-  if (confirmedAfterMs === null) return 'no leader was confirmed any more';
-  if (confirmedAfterMs > CONFIRMED_WITHIN_MS) return `led after ${confirmedAfterMs} ms`;
-  if (completeAfterMs === null) return 'a VM waits outside';
-  return completeAfterMs > COMPLETE_WITHIN_MS ? `complete after ${completeAfterMs} ms` : null;
+  if (hasLostCommits) return 'acknowledged entries were lost';
+  if (confirmedAfterMs === null) return 'no leader was confirmed';
+  if (confirmedAfterMs > CONFIRMED_WITHIN_MS)
+    return `a leader was confirmed only after ${confirmedAfterMs} ms`;
+  if (completeAfterMs === null) return 'a VM did not become a member';
+  return completeAfterMs > COMPLETE_WITHIN_MS
+    ? `all VMs were members only after ${completeAfterMs} ms`
+    : null;
 }
 
-/** One of four equal parts of the schedules; each is a test file, so that they run side by side. */
+/** One of four equal parts of the schedules, in a test file each so that they run in parallel. */
 export function describeGroupSchedules(part: number): void {
-  describe('a group under losses that its settings bear', () => {
-    it(`leads again within 5 s and takes everyone in within 10 s, part ${part} of ${PARTS}`, () => {
+  describe('a group under losses that its settings tolerate', () => {
+    it(`has a leader within 5 s and all VMs as members within 10 s, part ${part} of ${PARTS}`, () => {
       const problems: string[] = [];
       for (let seed = part; seed <= SCHEDULES; seed += PARTS) {
         const result = runGroupSchedule(optionsOf(seed));
--- a/packages/consensus/__tests__/membershipRecord.spec.ts
+++ b/packages/consensus/__tests__/membershipRecord.spec.ts
@@ -7,12 +7,12 @@
 
 const SELF = 'vm1#a';
 const LIMITS = deriveMembershipLimits({ lossesBorne: 1, catchUpMs: 4000 });
-const LOOK_MS = 100;
-const THREE: Configuration = { voters: [SELF, 'vm2#b', 'vm3#c'], learners: [] };
-const LEARNING: Configuration = { ...THREE, learners: ['vm4#d'] };
-const STANDING_BY: Configuration = { ...THREE, standbys: ['vm4#d'] };
-const ALL_ANSWER = { 'vm2#b': 50, 'vm3#c': 50, 'vm4#d': 50 };
-const ALL_HOLD = { 'vm2#b': 100, 'vm3#c': 100, 'vm4#d': 100 };
+const POLL_INTERVAL_MS = 100;
+const THREE_VOTERS: Configuration = { voters: [SELF, 'vm2#b', 'vm3#c'], learners: [] };
+const WITH_LEARNER: Configuration = { ...THREE_VOTERS, learners: ['vm4#d'] };
+const WITH_STANDBY: Configuration = { ...THREE_VOTERS, standbys: ['vm4#d'] };
+const RECENT_REPLY_AGES_MS = { 'vm2#b': 50, 'vm3#c': 50, 'vm4#d': 50 };
+const FULL_MATCH_INDEXES = { 'vm2#b': 100, 'vm3#c': 100, 'vm4#d': 100 };
 
 function createStatus(overrides: Partial<ReplicaStatus> = {}): ReplicaStatus {
   return {
@@ -25,11 +25,11 @@
     lastTerm: 2,
     savedIndex: 100,
     snapshotIndex: 0,
-    configuration: THREE,
+    configuration: THREE_VOTERS,
     configurationIndex: 1,
     isLeaseValid: true,
-    matchIndexes: ALL_HOLD,
-    answerAgesMs: ALL_ANSWER,
+    matchIndexes: FULL_MATCH_INDEXES,
+    answerAgesMs: RECENT_REPLY_AGES_MS,
     contactAgesMs: {},
     lastDenial: null,
     ...overrides,
@@ -39,8 +39,8 @@
 interface Fixture {
   readonly clock: ManualClock;
   readonly membership: GroupMembership;
-  /** Looks every so often for a while; returns what was decided, without what came of nothing. */
-  look(status: ReplicaStatus, durationMs: number): readonly MembershipAction[];
+  /** Calls `next` periodically for a duration; returns the actions, without nulls. */
+  poll(status: ReplicaStatus, durationMs: number): readonly MembershipAction[];
 }
 
 function createFixture(): Fixture {
@@ -49,12 +49,12 @@
   return {
     clock,
     membership,
-    look(status, durationMs) {
+    poll(status, durationMs) {
       const actions: MembershipAction[] = [];
-      for (let passedMs = 0; passedMs < durationMs; passedMs += LOOK_MS) {
+      for (let passedMs = 0; passedMs < durationMs; passedMs += POLL_INTERVAL_MS) {
         const action = membership.next(status);
         if (action) actions.push(action);
-        clock.advance(LOOK_MS);
+        clock.advance(POLL_INTERVAL_MS);
       }
       return actions;
     },
@@ -64,109 +64,113 @@
 const changes = (actions: readonly MembershipAction[]) =>
   actions.flatMap((action) => (action.kind === 'change' ? [action.change.kind] : []));
 
-describe('a leader that has a learner', () => {
-  it('gives it a vote once it has answered for a while and holds all that is committed', () => {
-    const { look } = createFixture();
-    const status = createStatus({ configuration: LEARNING });
-    assert.deepEqual(look(status, LIMITS.stableForMs), []);
-    assert.equal(changes(look(status, LOOK_MS))[0], 'keep-standby', 'no data centre is known');
+describe('a leader with a learner', () => {
+  it('decides on it once it has been stable and has stored all committed entries', () => {
+    const { poll } = createFixture();
+    const status = createStatus({ configuration: WITH_LEARNER });
+    assert.deepEqual(poll(status, LIMITS.stableForMs), []);
+    assert.equal(
+      changes(poll(status, POLL_INTERVAL_MS))[0],
+      'keep-standby',
+      'the data centre is unknown, so it becomes a standby',
+    );
   });
 
-  it('gives none to one that has never answered, however little there is to hold', () => {
-    const { look } = createFixture();
+  it('gives no vote to a learner that has never replied, even if the log is short', () => {
+    const { poll } = createFixture();
     const status = createStatus({
-      configuration: LEARNING,
+      configuration: WITH_LEARNER,
       commitIndex: 8,
       matchIndexes: { 'vm2#b': 8, 'vm3#c': 8 },
       answerAgesMs: { 'vm2#b': 50, 'vm3#c': 50 },
     });
-    assert.deepEqual(look(status, LIMITS.removeAfterMs), []);
-    assert.deepEqual(changes(look(status, 2 * LOOK_MS)), ['remove']);
+    assert.deepEqual(poll(status, LIMITS.removeAfterMs), []);
+    assert.deepEqual(changes(poll(status, 2 * POLL_INTERVAL_MS)), ['remove']);
   });
 
-  it('gives none to one that lacks an entry that is committed', () => {
-    const { look } = createFixture();
-    const matchIndexes = { ...ALL_HOLD, 'vm4#d': 99 };
-    const status = createStatus({ configuration: LEARNING, matchIndexes });
-    assert.deepEqual(look(status, 10 * LIMITS.stableForMs), []);
+  it('gives no vote to a learner that lacks a committed entry', () => {
+    const { poll } = createFixture();
+    const matchIndexes = { ...FULL_MATCH_INDEXES, 'vm4#d': 99 };
+    const status = createStatus({ configuration: WITH_LEARNER, matchIndexes });
+    assert.deepEqual(poll(status, 10 * LIMITS.stableForMs), []);
   });
 
-  it('waits where an entry was committed since the last look that the learner lacks', () => {
-    const { look } = createFixture();
-    const status = createStatus({ configuration: LEARNING });
-    look(status, LIMITS.stableForMs);
+  it('waits if the learner lacks an entry committed since the previous call', () => {
+    const { poll } = createFixture();
+    const status = createStatus({ configuration: WITH_LEARNER });
+    poll(status, LIMITS.stableForMs);
     const matchIndexes = { 'vm2#b': 101, 'vm3#c': 101, 'vm4#d': 100 };
-    assert.deepEqual(look({ ...status, commitIndex: 101, matchIndexes }, LOOK_MS), []);
+    assert.deepEqual(poll({ ...status, commitIndex: 101, matchIndexes }, POLL_INTERVAL_MS), []);
   });
 
-  it('begins to count anew when it has not answered for a moment', () => {
-    const { look } = createFixture();
-    const status = createStatus({ configuration: LEARNING });
-    const answerAgesMs = { ...ALL_ANSWER, 'vm4#d': LIMITS.maxContactAgeMs + 1 };
-    assert.deepEqual(look(status, LIMITS.stableForMs), []);
-    assert.deepEqual(look({ ...status, answerAgesMs }, LOOK_MS), []);
-    assert.deepEqual(look(status, LIMITS.stableForMs), []);
-    assert.equal(look(status, LOOK_MS).length, 1);
+  it('restarts the stability period after a gap in the replies', () => {
+    const { poll } = createFixture();
+    const status = createStatus({ configuration: WITH_LEARNER });
+    const answerAgesMs = { ...RECENT_REPLY_AGES_MS, 'vm4#d': LIMITS.maxContactAgeMs + 1 };
+    assert.deepEqual(poll(status, LIMITS.stableForMs), []);
+    assert.deepEqual(poll({ ...status, answerAgesMs }, POLL_INTERVAL_MS), []);
+    assert.deepEqual(poll(status, LIMITS.stableForMs), []);
+    assert.equal(poll(status, POLL_INTERVAL_MS).length, 1);
   });
 
-  it('decides nothing while a change is under way', () => {
-    const { look } = createFixture();
-    const exchanging = { ...LEARNING, outgoing: THREE.voters };
-    const open = createStatus({ configuration: LEARNING, configurationIndex: 101 });
+  it('decides nothing while a change is in progress', () => {
+    const { poll } = createFixture();
+    const exchanging = { ...WITH_LEARNER, outgoing: THREE_VOTERS.voters };
+    const open = createStatus({ configuration: WITH_LEARNER, configurationIndex: 101 });
     const joint = createStatus({ configuration: exchanging });
-    assert.deepEqual(look(open, 10 * LIMITS.stableForMs), []);
-    assert.deepEqual(look(joint, 10 * LIMITS.stableForMs), []);
+    assert.deepEqual(poll(open, 10 * LIMITS.stableForMs), []);
+    assert.deepEqual(poll(joint, 10 * LIMITS.stableForMs), []);
   });
 });
 
-describe('a leader that does not hear a voter', () => {
-  it('counts the silence of each from the beginning of its lead', () => {
-    const { look } = createFixture();
+describe('a leader with a silent voter', () => {
+  it('counts the silence of a voter from the start of its own leadership', () => {
+    const { poll } = createFixture();
     const answerAgesMs = { 'vm2#b': 50, 'vm4#d': 50 };
-    const status = createStatus({ configuration: STANDING_BY, answerAgesMs });
-    assert.deepEqual(look(status, LIMITS.silentAfterMs + LOOK_MS), []);
-    assert.deepEqual(changes(look(status, LOOK_MS)), ['exchange']);
+    const status = createStatus({ configuration: WITH_STANDBY, answerAgesMs });
+    assert.deepEqual(poll(status, LIMITS.silentAfterMs + POLL_INTERVAL_MS), []);
+    assert.deepEqual(changes(poll(status, POLL_INTERVAL_MS)), ['exchange']);
   });
 
-  it('counts that of the leader before from when it was heard last', () => {
-    const { look } = createFixture();
+  it('counts the silence of the previous leader from its last message', () => {
+    const { poll } = createFixture();
     const following = createStatus({ role: 'follower', leaderId: 'vm3#c' });
-    look(following, LOOK_MS);
+    poll(following, POLL_INTERVAL_MS);
     const status = createStatus({
-      configuration: STANDING_BY,
+      configuration: WITH_STANDBY,
       answerAgesMs: { 'vm2#b': 50, 'vm4#d': 50 },
       contactAgesMs: { 'vm3#c': LIMITS.silentAfterMs + 1 },
     });
-    look(status, LIMITS.stableForMs);
-    assert.deepEqual(changes(look(status, LOOK_MS)), ['exchange']);
+    poll(status, LIMITS.stableForMs);
+    assert.deepEqual(changes(poll(status, POLL_INTERVAL_MS)), ['exchange']);
   });
 
-  it('counts that of a member from when it was taken in, however long it has led itself', () => {
-    const { look } = createFixture();
-    look(createStatus(), 2 * LIMITS.removeAfterMs);
+  it('counts the silence of a new member from when it was added', () => {
+    const { poll } = createFixture();
+    poll(createStatus(), 2 * LIMITS.removeAfterMs);
     const answerAgesMs = { 'vm2#b': 50, 'vm3#c': 50 };
-    const unheard = createStatus({ configuration: LEARNING, answerAgesMs });
-    assert.deepEqual(changes(look(unheard, LIMITS.removeAfterMs)), []);
-    assert.deepEqual(changes(look(unheard, 2 * LOOK_MS)), ['remove']);
+    const unheard = createStatus({ configuration: WITH_LEARNER, answerAgesMs });
+    assert.deepEqual(changes(poll(unheard, LIMITS.removeAfterMs)), []);
+    assert.deepEqual(changes(poll(unheard, 2 * POLL_INTERVAL_MS)), ['remove']);
   });
 
-  it('takes no answer of a new identity of its VM for one of the old', () => {
-    const { look } = createFixture();
+  it('does not count a reply of a new identity of a VM as one of the old identity', () => {
+    const { poll } = createFixture();
     const status = createStatus({
-      configuration: STANDING_BY,
+      configuration: WITH_STANDBY,
       answerAgesMs: { 'vm2#b': 50, 'vm3#new': 50, 'vm4#d': 50 },
     });
-    look(status, LIMITS.silentAfterMs + LOOK_MS);
-    assert.deepEqual(changes(look(status, LOOK_MS)), ['exchange']);
+    poll(status, LIMITS.silentAfterMs + POLL_INTERVAL_MS);
+    assert.deepEqual(changes(poll(status, POLL_INTERVAL_MS)), ['exchange']);
   });
 });
 
-describe('a leader with nothing to do', () => {
-  it('finds out once where its members are, however often it looks', () => {
+describe('a leader without pending changes', () => {
+  it('looks up the data centre of each member only once', () => {
     const clock = createManualClock(50_000);
-    const asked: string[] = [];
+    const lookups: string[] = [];
     const dataCentreOf = (id: string) => {
-      asked.push(id);
+      lookups.push(id);
       return id;
     };
     const membership = createGroupMembership({
@@ -177,26 +181,26 @@
     });
     for (let looks = 0; looks < 100; looks += 1) {
       assert.equal(membership.next(createStatus()), null);
-      clock.advance(LOOK_MS);
+      clock.advance(POLL_INTERVAL_MS);
     }
-    assert.deepEqual(asked.sort(), [...THREE.voters]);
+    assert.deepEqual(lookups.sort(), [...THREE_VOTERS.voters]);
   });
 });
 
-describe('a leader that is asked', () => {
-  it('takes in who asks now, and nobody who has stopped asking', () => {
-    const { membership, clock, look } = createFixture();
+describe('a leader with join requests', () => {
+  it('adds a replica with a current request, and ignores expired requests', () => {
+    const { membership, clock, poll } = createFixture();
     membership.recordJoin({ replicaId: 'vm4#d' });
-    assert.deepEqual(changes(look(createStatus(), LOOK_MS)), ['add-learner']);
+    assert.deepEqual(changes(poll(createStatus(), POLL_INTERVAL_MS)), ['add-learner']);
     clock.advance(LIMITS.maxContactAgeMs);
-    assert.deepEqual(look(createStatus(), LOOK_MS), []);
+    assert.deepEqual(poll(createStatus(), POLL_INTERVAL_MS), []);
   });
 
-  it('hears only the newest identity of a VM', () => {
-    const { membership, look } = createFixture();
+  it('considers only the newest identity of a VM', () => {
+    const { membership, poll } = createFixture();
     membership.recordJoin({ replicaId: 'vm4#old' });
     membership.recordJoin({ replicaId: 'vm4#new' });
-    const [step] = look(createStatus(), LOOK_MS);
+    const [step] = poll(createStatus(), POLL_INTERVAL_MS);
     assert.deepEqual(step, {
       kind: 'change',
       change: { kind: 'add-learner', replicaId: 'vm4#new' },
@@ -205,42 +209,42 @@
   });
 });
 
-describe('a replica that does not lead', () => {
+describe('a replica that is not the leader', () => {
   const following = createStatus({ role: 'follower', leaderId: 'vm2#b' });
   const alone = createStatus({ role: 'pre-candidate', leaderId: null });
 
-  it('asks to be taken in while it is no member', () => {
-    const { look } = createFixture();
+  it('asks to join while it is not a member', () => {
+    const { poll } = createFixture();
     const configuration = { voters: [], learners: [] };
-    const [action] = look({ ...following, configuration }, LOOK_MS);
+    const [action] = poll({ ...following, configuration }, POLL_INTERVAL_MS);
     assert.deepEqual(action, { kind: 'ask-to-join' });
   });
 
-  it('asks when it has heard no leader for long: it may have been removed meanwhile', () => {
-    const { look } = createFixture();
-    assert.deepEqual(look(following, 1000), []);
-    assert.deepEqual(look(alone, LIMITS.silentAfterMs), []);
-    assert.deepEqual(look(alone, LOOK_MS), [{ kind: 'ask-to-join' }]);
+  it('asks to join after a long time without a leader, as it may have been removed', () => {
+    const { poll } = createFixture();
+    assert.deepEqual(poll(following, 1000), []);
+    assert.deepEqual(poll(alone, LIMITS.silentAfterMs), []);
+    assert.deepEqual(poll(alone, POLL_INTERVAL_MS), [{ kind: 'ask-to-join' }]);
   });
 
-  it('asks to have its vote taken over when its process is about to end', () => {
-    const { membership, look } = createFixture();
+  it('asks to leave when its process is shutting down', () => {
+    const { membership, poll } = createFixture();
     membership.beginLeaving();
-    assert.deepEqual(look(following, LOOK_MS), [{ kind: 'ask-to-leave' }]);
+    assert.deepEqual(poll(following, POLL_INTERVAL_MS), [{ kind: 'ask-to-leave' }]);
   });
 });
 
-describe('a replica whose process is about to end', () => {
+describe('a replica whose process is shutting down', () => {
   const follower = createStatus({ role: 'follower', leaderId: 'vm2#b' });
 
-  it('hands over a vote that somebody can take', () => {
+  it('has to hand over its vote if another member can take it', () => {
     const { membership } = createFixture();
     membership.beginLeaving();
     assert.equal(membership.hasToHandOver(follower), false);
-    assert.equal(membership.hasToHandOver({ ...follower, configuration: STANDING_BY }), true);
+    assert.equal(membership.hasToHandOver({ ...follower, configuration: WITH_STANDBY }), true);
   });
 
-  it('tells the leader of it where it has no vote, as it may be about to get one', () => {
+  it('waits, as a non-voter, until the leader knows of the shutdown, as it may be given a vote', () => {
     const { membership } = createFixture();
     membership.beginLeaving();
     const configuration = { voters: ['vm2#b', 'vm3#c', 'vm4#d'], learners: [], standbys: [SELF] };
@@ -249,7 +253,7 @@
     assert.equal(membership.hasToHandOver({ ...follower, configuration }), false);
   });
 
-  it('hands over its lead, unless everyone else is about to end too', () => {
+  it('has to hand over its leadership, unless all others are shutting down too', () => {
     const { membership } = createFixture();
     membership.beginLeaving();
     assert.equal(membership.hasToHandOver(createStatus()), true);
--- a/packages/consensus/__tests__/membershipReturns.spec.ts
+++ b/packages/consensus/__tests__/membershipReturns.spec.ts
@@ -1,12 +1,9 @@
 /**
- * A VM that joined could hear nothing for two seconds. The leader had taken it in as a learner and
- * removed it again when it stayed silent; the VM received neither message. It was reachable again
- * and never asked to be taken in: it believed in the leader that it had known last, as a replica
- * without a vote holds no election and nothing else made it give that leader up. Later losses,
- * each of which the settings allow, then met a group in which two voters were gone for good.
- *
- * What settled it: the schedule below, in which the VM was up and reachable for five seconds, its
- * log ended at the entry that took it in, and no line after that said that it asked.
+ * Guards against a learner that is removed while it is unreachable and never asks to join again.
+ * Neither the addition nor the removal reached the VM. A non-voter starts no election, so it kept
+ * the last leader it knew and did not notice that it was no longer a member. Later losses, each of
+ * which the settings allow, then left the group with two voters permanently lost. In the schedule
+ * of the seed below, the VM receives nothing for 2 s and is then reachable for 5 s.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -18,10 +15,10 @@
 const LIMITS = deriveMembershipLimits(PROMISE);
 const ELECTION_MS = 3000;
 const MARGIN_MS = 1000;
-const SEED_OF_A_DEAF_NEWCOMER = 2916;
+const UNREACHABLE_LEARNER_SEED = 2916;
 
-describe('a VM without a vote that was away until it was removed', () => {
-  it('is a member again soon after it can be reached', () => {
+describe('a non-voting VM that was removed while unreachable', () => {
+  it('becomes a member again soon after it is reachable', () => {
     const group = new MemoryGroup({ seed: 1, size: 3, promise: PROMISE, dataCentres: 3 });
     const listMembers = () => {
       const status = group.confirmedLeader()?.node.replica?.status();
@@ -31,16 +28,16 @@
     const { node } = group.addVm('dc3');
     group.run(LIMITS.stableForMs + MARGIN_MS);
     assert.ok(listMembers().includes(node.id));
-    node.isCut = true;
+    node.isPartitioned = true;
     group.run(LIMITS.removeAfterMs + MARGIN_MS);
     assert.ok(!listMembers().includes(node.id));
-    node.isCut = false;
+    node.isPartitioned = false;
     group.run(PROMISE.catchUpMs);
     assert.ok(listMembers().includes(node.id));
   });
 
-  it('is a member again before further losses that the settings allow', () => {
-    const result = runGroupSchedule(optionsOf(SEED_OF_A_DEAF_NEWCOMER));
+  it('becomes a member again before further losses that the settings allow', () => {
+    const result = runGroupSchedule(optionsOf(UNREACHABLE_LEARNER_SEED));
     assert.equal(findProblem(result), null);
   });
 });
--- a/packages/consensus/__tests__/memoryCluster.ts
+++ b/packages/consensus/__tests__/memoryCluster.ts
@@ -1,4 +1,4 @@
-/** A small group of replicas in one process, under a seeded scheduler. */
+/** A small group of replicas in one process with a seeded scheduler. */
 import assert from 'node:assert/strict';
 import { createSeededRandom } from '@spoolplank/shared';
 import type { Random } from '@spoolplank/shared';
@@ -21,11 +21,11 @@
   /** Entries after which a replica takes a snapshot. */
   readonly snapshotEvery?: number;
   readonly timings?: Partial<ReplicaTimings>;
-  /** Longest part of a snapshot in one message. */
+  /** Maximum length of a snapshot chunk in one message. */
   readonly chunkLength?: number;
 }
 
-/** Half of the election timeout: a promise that ends so early would let two leaders act. */
+/** Half of the election timeout: ending a vote restriction this early would allow two leaders. */
 const FALSE_SUSPENSION_MS = 500;
 const TIMINGS: ReplicaTimings = {
   electionTimeoutMs: 1000,
@@ -41,10 +41,10 @@
 
   network: Message[] = [];
 
-  /** What was committed at each index, by whoever applied it first. */
+  /** The entry committed at each index, as first applied by any replica. */
   readonly committed = new Map<number, string>();
 
-  /** Highest index whose proposer was told that it is done. */
+  /** Highest index that was acknowledged to its proposer. */
   ackedIndex = 0;
 
   readonly leadersByTerm = new Map<number, ReplicaId>();
@@ -57,7 +57,7 @@
 
   readonly #chunkLength: number;
 
-  #lives = 0;
+  #identityCount = 0;
 
   #proposed = 0;
 
@@ -79,31 +79,31 @@
   }
 
   #createNode(vmId: string): Node {
-    this.#lives += 1;
+    this.#identityCount += 1;
     return {
       vmId,
-      id: `${vmId}#${this.#lives}`,
+      id: `${vmId}#${this.#identityCount}`,
       disk: blankDisk(),
       replica: null,
       saving: null,
       isFrozen: false,
       frozenAtMs: 0,
-      freezes: 0,
+      freezeCount: 0,
       suspendedMs: 0,
-      aheadMs: 0,
-      isCut: false,
-      isDeaf: false,
-      isMute: false,
+      clockAheadMs: 0,
+      isPartitioned: false,
+      isInboundBlocked: false,
+      isOutboundBlocked: false,
       applied: new Map(),
       appliedIndex: 0,
       appliedTerm: 0,
-      // Clocks of unequal speed, well inside what the lease's margin covers.
+      // Clock rates differ by less than the lease margin allows for.
       clockRate: 0.97 + this.random.nextFloat() * 0.06,
       clockOffsetMs: this.random.nextInt(100_000),
     };
   }
 
-  /** Adds a VM with a blank disk, which is not started. */
+  /** Adds a VM with an empty disk without starting it. */
   addBlank(vmId: string): Node {
     const node = this.#createNode(vmId);
     this.nodes.push(node);
@@ -119,9 +119,9 @@
   }
 
   start(node: Node): void {
-    this.thaw(node);
+    this.unfreeze(node);
     const clock = {
-      nowMs: () => node.clockOffsetMs + this.#nowMs * node.clockRate + node.aheadMs,
+      nowMs: () => node.clockOffsetMs + this.#nowMs * node.clockRate + node.clockAheadMs,
       steadyMs: () => node.clockOffsetMs + (this.#nowMs - node.suspendedMs) * node.clockRate,
       wallMs: () => 0,
     };
@@ -151,42 +151,42 @@
   freeze(node: Node): void {
     node.isFrozen = true;
     node.frozenAtMs = this.#nowMs;
-    node.freezes += 1;
+    node.freezeCount += 1;
   }
 
   /**
-   * Lets a replica go on. Every other time it was its VM that was suspended, so that its steady
-   * clock stood still; every fourth time its other clock runs ahead from then on, as one does that
-   * took a step of the time of day for a suspension.
+   * Resumes a replica. Every second freeze is a suspension of its VM, during which the steady clock
+   * stands still. After every fourth one its `nowMs` clock runs ahead, as it does when a step of
+   * the wall clock is mistaken for a suspension.
    */
-  thaw(node: Node): void {
+  unfreeze(node: Node): void {
     if (!node.isFrozen) return;
     node.isFrozen = false;
-    if (node.freezes % 2 === 1) node.suspendedMs += this.#nowMs - node.frozenAtMs;
-    if (node.freezes % 4 === 0) node.aheadMs += FALSE_SUSPENSION_MS;
+    if (node.freezeCount % 2 === 1) node.suspendedMs += this.#nowMs - node.frozenAtMs;
+    if (node.freezeCount % 4 === 0) node.clockAheadMs += FALSE_SUSPENSION_MS;
   }
 
-  /** Loses everything that was not on disk; a write under way may have come part of the way. */
+  /** Crashes a replica; only saved state survives, and a write in progress may be partial. */
   crash(node: Node): void {
     const { saving } = node;
     if (saving && !saving.snapshot && this.random.nextInt(2) === 0) {
-      const reached = saving.entries.slice(0, this.random.nextInt(saving.entries.length + 1));
-      writeToDisk(node, { ...saving, entries: reached });
+      const written = saving.entries.slice(0, this.random.nextInt(saving.entries.length + 1));
+      writeToDisk(node, { ...saving, entries: written });
     }
     node.replica = null;
     node.saving = null;
   }
 
-  /** Takes the disk away from a VM that is off: it comes back blank, under another identity. */
+  /** Wipes the disk of a stopped VM, which then restarts under a new identity. */
   loseDisk(node: Node): void {
-    this.#lives += 1;
-    node.id = `${node.vmId}#${this.#lives}`;
+    this.#identityCount += 1;
+    node.id = `${node.vmId}#${this.#identityCount}`;
     node.disk = blankDisk();
     node.applied = new Map();
     node.appliedIndex = 0;
   }
 
-  /** Takes the disk away, and starts the VM again at once. */
+  /** Wipes the disk and restarts the VM immediately. */
   wipe(node: Node): void {
     this.crash(node);
     this.loseDisk(node);
@@ -207,7 +207,7 @@
     return node.replica?.propose(`command-${this.#proposed}`) ?? null;
   }
 
-  /** First half of a turn: takes what is to be saved, and sends what may leave early. */
+  /** First half of a turn: takes the state to save and sends the early messages. */
   beginSave(node: Node): boolean {
     if (!node.replica || node.isFrozen || node.saving) return false;
     const ready = node.replica.takeReady();
@@ -222,7 +222,7 @@
     return true;
   }
 
-  /** Second half: the disk is done; messages leave and entries are applied. */
+  /** Second half: completes the save, sends messages and applies entries. */
   finishSave(node: Node): boolean {
     const { saving: ready, replica, disk } = node;
     if (!ready || !replica || node.isFrozen) return false;
@@ -262,7 +262,7 @@
     node.appliedTerm = term;
     if (payload.kind === 'command') node.applied.set(index, JSON.stringify(payload.command));
     const status = node.replica?.status();
-    // The leader that proposed it tells its caller now.
+    // The leader that proposed the entry acknowledges it at this point.
     if (status?.role === 'leader' && status.term === term)
       this.ackedIndex = Math.max(this.ackedIndex, index);
   }
@@ -291,9 +291,11 @@
     const target = this.nodes.find(({ id }) => id === message.to);
     if (!target?.replica) return;
     const sender = this.nodes.find(({ id }) => id === message.from);
-    const isSenderCut = sender !== undefined && (sender.isCut || sender.isMute);
-    const isHeld = target.isFrozen || target.isCut || target.isDeaf || isSenderCut;
-    if (isHeld) this.network.push(message);
+    const isSenderBlocked =
+      sender !== undefined && (sender.isPartitioned || sender.isOutboundBlocked);
+    const isBlocked =
+      target.isFrozen || target.isPartitioned || target.isInboundBlocked || isSenderBlocked;
+    if (isBlocked) this.network.push(message);
     else target.replica.receive(message);
   }
 
@@ -303,7 +305,7 @@
     });
   }
 
-  /** Checks what must hold at any moment. */
+  /** Checks the invariants that must always hold. */
   checkInvariants(): void {
     this.nodes.forEach((node) => {
       const status = node.replica?.status();
@@ -316,18 +318,18 @@
       if (node.replica?.canRead() && status.commitIndex <= node.appliedIndex) {
         assert.ok(
           node.appliedIndex >= this.ackedIndex,
-          `${node.id} would read at ${node.appliedIndex}, ${this.ackedIndex} was acknowledged`,
+          `${node.id} would serve a read at index ${node.appliedIndex}, but ${this.ackedIndex} was acknowledged`,
         );
       }
     });
   }
 
-  /** Runs without faults for a while. */
-  settle(rounds = 60): void {
+  /** Ends all faults and runs for the given number of rounds. */
+  runWithoutFaults(rounds = 60): void {
     this.nodes.forEach((node) => {
       if (!node.replica) this.start(node);
-      this.thaw(node);
-      node.isCut = false;
+      this.unfreeze(node);
+      node.isPartitioned = false;
     });
     for (let round = 0; round < rounds; round += 1) {
       this.advance(60);
@@ -337,7 +339,7 @@
     }
   }
 
-  /** Everything that can happen now without time passing. */
+  /** Completes pending saves and deliveries without advancing time. */
   runTurn(): void {
     for (let round = 0; round < 3; round += 1) {
       this.nodes.forEach((node) => {
@@ -349,7 +351,7 @@
     }
   }
 
-  /** Waits, without faults, until there is a leader; fails when there is none. */
+  /** Runs without faults until a leader is elected; throws if none is. */
   electLeader(): Node {
     for (let round = 0; round < 500; round += 1) {
       const leader = this.leader();
@@ -361,10 +363,10 @@
     throw new Error('no leader was elected');
   }
 
-  /** Proposes and runs until it is acknowledged; returns its index. */
+  /** Proposes a command and runs until it is acknowledged; returns its index. */
   commit(node: Node, rounds = 50): number {
     const place = this.propose(node);
-    assert.ok(place, `${node.id} leads`);
+    assert.ok(place, `${node.id} is not the leader`);
     for (let round = 0; round < rounds && this.ackedIndex < place.index; round += 1) {
       this.advance(10);
       this.runTurn();
--- a/packages/consensus/__tests__/memoryGroup.ts
+++ b/packages/consensus/__tests__/memoryGroup.ts
@@ -1,6 +1,6 @@
 /**
- * A group whose VMs come and go, in virtual time: replicas as in `MemoryCluster`, and beside each
- * of them what decides on the members of the group, called as a control process calls it.
+ * A group with changing VMs in virtual time: the replicas of a `MemoryCluster`, each with the
+ * membership management that a control process runs.
  */
 import {
   createGroupMembership,
@@ -12,17 +12,17 @@
 import { MemoryCluster } from './memoryCluster';
 import type { Node } from './memoryNode';
 
-/** A VM of the group, with one life of its process. */
+/** A VM of the group, with the state of its current process. */
 export interface GroupVm {
   readonly node: Node;
   readonly dataCentre: string;
-  /** Gone for good: it never starts again. */
-  isGone: boolean;
+  /** Whether it has been removed permanently and never starts again. */
+  isRemoved: boolean;
   isRunning: boolean;
-  /** Whether its process knows its group and runs its replica. */
-  isTakingPart: boolean;
+  /** Whether its process has found its group and runs its replica. */
+  hasJoinedGroup: boolean;
   membership: GroupMembership;
-  /** When its process looks at its group next, and at its replica's timers. */
+  /** Times of its process's next membership step and replica tick. */
   nextStepMs: number;
   nextTickMs: number;
 }
@@ -31,24 +31,24 @@
   readonly seed: number;
   readonly size: number;
   readonly promise: GroupPromise;
-  /** Data centres over which the VMs of the start are spread. */
+  /** Number of data centres over which the initial VMs are spread. */
   readonly dataCentres: number;
 }
 
-/** As the group of a control process has it. */
+/** The same interval as in a control process. */
 const STEP_MS = 100;
 const TICK_MS = 50;
-/** Of so many timers one runs out while another one's messages are on their way. */
-const TICKS_TOGETHER = 4;
-/** What a VM without a disk answers to one that looks for its group. */
-const RELAY: GroupDescription = { replicaId: null, configuration: null };
-/** A snapshot goes in one message, as those of the product do. */
+/** One in this many role changes overlaps with other timers, without delivery in between. */
+const TICKS_PER_OVERLAP = 4;
+/** The reply of a VM without a disk to a VM that searches for its group. */
+const DISKLESS_VM: GroupDescription = { replicaId: null, configuration: null };
+/** Large enough for a whole snapshot in one message, as in production. */
 const CHUNK_LENGTH = 100_000;
-/** A turn takes between these, so that the replicas' timers do not fall together. */
+/** The duration of a turn varies between these, so that the replicas' timers do not coincide. */
 const MIN_TURN_MS = 10;
 const MAX_TURN_MS = 40;
-/** Of so many messages one is lost. */
-const LOSS_OF = 200;
+/** Per turn, one message is lost with a probability of its queue length divided by this. */
+const MESSAGES_PER_LOSS = 200;
 const PROPOSAL_INTERVAL_MS = 200;
 
 export class MemoryGroup {
@@ -77,7 +77,7 @@
     );
     this.vms.forEach((vm) => {
       vm.isRunning = true;
-      vm.isTakingPart = true;
+      vm.hasJoinedGroup = true;
     });
   }
 
@@ -89,9 +89,9 @@
     return {
       node,
       dataCentre,
-      isGone: false,
+      isRemoved: false,
       isRunning: false,
-      isTakingPart: false,
+      hasJoinedGroup: false,
       membership: this.#createMembership(node),
       nextStepMs: this.cluster.nowMs + this.cluster.random.nextInt(STEP_MS),
       nextTickMs: this.cluster.nowMs + this.cluster.random.nextInt(TICK_MS),
@@ -112,37 +112,37 @@
     });
   }
 
-  /** Whether two VMs reach each other both ways now. */
+  /** Whether a VM can currently send and receive messages. */
   static #isReachable(vm: GroupVm): boolean {
-    const { isFrozen, isCut, isDeaf, isMute } = vm.node;
-    return vm.isRunning && !isFrozen && !isCut && !isDeaf && !isMute;
+    const { isFrozen, isPartitioned, isInboundBlocked, isOutboundBlocked } = vm.node;
+    return vm.isRunning && !isFrozen && !isPartitioned && !isInboundBlocked && !isOutboundBlocked;
   }
 
-  static #describe({ node, isTakingPart }: GroupVm): GroupDescription {
-    const configuration = isTakingPart ? node.replica?.status().configuration : undefined;
+  static #describe({ node, hasJoinedGroup }: GroupVm): GroupDescription {
+    const configuration = hasJoinedGroup ? node.replica?.status().configuration : undefined;
     const isKnown = configuration !== undefined && configuration.voters.length > 0;
     return { replicaId: node.id, configuration: isKnown ? configuration : null };
   }
 
   #others(vm: GroupVm): readonly GroupVm[] {
-    return this.vms.filter((other) => other !== vm && !other.isGone);
+    return this.vms.filter((other) => other !== vm && !other.isRemoved);
   }
 
   #findGroup(vm: GroupVm): void {
     const others = this.#others(vm).map((other) =>
       MemoryGroup.#isReachable(other) ? MemoryGroup.#describe(other) : undefined,
     );
-    const { kind } = decideBootstrap({ self: vm.node.id, others: [...others, RELAY] });
+    const { kind } = decideBootstrap({ self: vm.node.id, others: [...others, DISKLESS_VM] });
     if (kind === 'wait' || kind === 'found') return;
     this.cluster.start(vm.node);
-    vm.isTakingPart = true;
+    vm.hasJoinedGroup = true;
   }
 
-  /** Those that a VM reaches and that lead, as they say. */
+  /** Reachable VMs whose replica currently claims a valid leader lease. */
   #leaders(vm: GroupVm): readonly GroupVm[] {
     if (!MemoryGroup.#isReachable(vm)) return [];
     return this.#others(vm)
-      .filter((other) => MemoryGroup.#isReachable(other) && other.isTakingPart)
+      .filter((other) => MemoryGroup.#isReachable(other) && other.hasJoinedGroup)
       .filter((other) => other.node.replica?.canRead());
   }
 
@@ -151,9 +151,9 @@
     this.#leaders(vm).forEach(({ membership }) => membership.recordJoin(request));
   }
 
-  /** What the process of a VM does for its group every so often. */
+  /** Runs the periodic membership step of a VM's process. */
   #step(vm: GroupVm): void {
-    if (!vm.isTakingPart) {
+    if (!vm.hasJoinedGroup) {
       if (MemoryGroup.#isReachable(vm)) this.#findGroup(vm);
       return;
     }
@@ -178,7 +178,7 @@
     });
   }
 
-  /** Adds a VM at an address of its own, with a blank disk. */
+  /** Adds and starts a new VM with an empty disk. */
   addVm(dataCentre: string): GroupVm {
     this.#count += 1;
     const vm = this.#createVm(this.cluster.addBlank(`vm${this.#count}`), dataCentre);
@@ -187,37 +187,37 @@
     return vm;
   }
 
-  /** Starts the process of a VM that is off. */
+  /** Starts the process of a stopped VM. */
   start(vm: GroupVm): void {
-    if (vm.isGone || vm.isRunning) return;
+    if (vm.isRemoved || vm.isRunning) return;
     const { node } = vm;
     vm.isRunning = true;
     vm.membership = this.#createMembership(node);
     const isBlank = node.disk.snapshot === null && node.disk.entries.length === 0;
-    vm.isTakingPart = !isBlank;
+    vm.hasJoinedGroup = !isBlank;
     if (!isBlank) this.cluster.start(node);
   }
 
-  /** Asks a process to stop; returns whether it is done with what it does for its group. */
-  static isReadyToEnd(vm: GroupVm): boolean {
+  /** Requests the shutdown of a process; returns whether it has nothing left to hand over. */
+  static tryShutDown(vm: GroupVm): boolean {
     vm.membership.beginLeaving();
     vm.node.replica?.avoidLead();
     const status = vm.node.replica?.status();
     return !status || !vm.membership.hasToHandOver(status);
   }
 
-  /** Takes the power from a VM. */
+  /** Cuts the power of a VM. */
   stop(vm: GroupVm): void {
-    this.cluster.thaw(vm.node);
+    this.cluster.unfreeze(vm.node);
     this.cluster.crash(vm.node);
     vm.isRunning = false;
-    vm.isTakingPart = false;
+    vm.hasJoinedGroup = false;
   }
 
-  /** Takes a VM away for good. */
+  /** Removes a VM permanently. */
   remove(vm: GroupVm): void {
     this.stop(vm);
-    vm.isGone = true;
+    vm.isRemoved = true;
   }
 
   loseDisk(vm: GroupVm): void {
@@ -225,7 +225,7 @@
     this.cluster.loseDisk(vm.node);
   }
 
-  /** The VM whose replica leads and may read now. */
+  /** The reachable VM whose replica can serve reads as leader. */
   confirmedLeader(): GroupVm | undefined {
     return this.vms.find((vm) => {
       const { replica, appliedIndex } = vm.node;
@@ -234,7 +234,7 @@
     });
   }
 
-  /** Each process looks at its replica's timers at times of its own. */
+  /** Ticks each replica at the times of its own process. */
   #tick(): void {
     this.vms
       .filter(({ node }) => node.replica && !node.isFrozen)
@@ -244,14 +244,14 @@
         const roleBefore = vm.node.replica?.status().role;
         vm.node.replica?.tick();
         const isChanged = vm.node.replica?.status().role !== roleBefore;
-        // Messages are faster than timers, but for now and then.
-        if (isChanged && this.cluster.random.nextInt(TICKS_TOGETHER) > 0) this.cluster.runTurn();
+        // Messages usually arrive before the next timer fires, but not always.
+        if (isChanged && this.cluster.random.nextInt(TICKS_PER_OVERLAP) > 0) this.cluster.runTurn();
       });
   }
 
   #loseSomeMessages(): void {
     const { network, random } = this.cluster;
-    const index = random.nextInt(LOSS_OF);
+    const index = random.nextInt(MESSAGES_PER_LOSS);
     if (index < network.length) network.splice(index, 1);
   }
 
@@ -262,7 +262,7 @@
     if (leader) this.cluster.propose(leader.node);
   }
 
-  /** Lets time pass, and everything happen that is due. */
+  /** Advances time and runs everything that is due. */
   run(durationMs: number): void {
     const endsAtMs = this.nowMs + durationMs;
     while (this.nowMs < endsAtMs) {
@@ -282,7 +282,7 @@
     }
   }
 
-  /** Lets time pass until a leader is confirmed; returns how long that took, or null. */
+  /** Runs until a leader is confirmed; returns the time taken, or null if the limit is exceeded. */
   runUntilConfirmed(limitMs: number): number | null {
     const startedAtMs = this.nowMs;
     while (this.nowMs - startedAtMs <= limitMs) {
--- a/packages/consensus/__tests__/memoryNode.ts
+++ b/packages/consensus/__tests__/memoryNode.ts
@@ -1,4 +1,4 @@
-/** One replica of the group in memory, and what its disk keeps. */
+/** A replica of an in-memory group and its simulated disk. */
 import type { JsonValue } from '@spoolplank/shared';
 import { BLANK_STATE } from '..';
 import type {
@@ -13,7 +13,7 @@
   StoredState,
 } from '..';
 
-/** What a disk holds after a loss of power. */
+/** The disk contents that survive a power failure. */
 export interface Disk {
   hardState: HardState;
   snapshot: SnapshotMeta | null;
@@ -27,21 +27,21 @@
   id: ReplicaId;
   disk: Disk;
   replica: Replica | null;
-  /** Taken from the replica, not yet on disk. */
+  /** Output of the replica whose save is in progress. */
   saving: Ready | null;
   isFrozen: boolean;
   frozenAtMs: number;
-  freezes: number;
-  /** Time that its steady clock has left out. */
+  freezeCount: number;
+  /** Total time during which its steady clock stood still. */
   suspendedMs: number;
-  /** How far its other clock runs ahead. */
-  aheadMs: number;
-  /** Cut off: what it sends and what is sent to it stays on the way. */
-  isCut: boolean;
-  /** Cut off one way: what is sent to it, or what it sends, stays on the way. */
-  isDeaf: boolean;
-  isMute: boolean;
-  /** Commands applied, by index; what a state machine would be. */
+  /** How far its `nowMs` clock runs ahead. */
+  clockAheadMs: number;
+  /** Whether messages from and to this node are held in transit. */
+  isPartitioned: boolean;
+  /** Whether messages in one direction, to or from this node, are held in transit. */
+  isInboundBlocked: boolean;
+  isOutboundBlocked: boolean;
+  /** Applied commands by index; stands in for a state machine. */
   applied: Map<number, string>;
   appliedIndex: number;
   appliedTerm: number;
@@ -49,19 +49,19 @@
   clockOffsetMs: number;
 }
 
-/** Short, so that a snapshot takes many messages. */
+/** Short, so that a snapshot needs many messages. */
 export const SHORT_CHUNK_LENGTH = 40;
 
 export function blankDisk(): Disk {
   return { ...BLANK_STATE, snapshotData: '', entries: [] };
 }
 
-/** Asks a leader for one step of membership. */
+/** Proposes a membership change to a leader. */
 export function changeMembership(node: Node, change: ConfigurationChange): boolean {
   return node.replica?.proposeConfiguration(change) !== null;
 }
 
-/** Writes as a real disk would: what stood from the first entry on is replaced. */
+/** Writes to the simulated disk; entries from the first new one's index on are replaced. */
 export function writeToDisk(
   node: Node,
   { hardState, entries }: Pick<Ready, 'hardState' | 'entries'>,
@@ -74,7 +74,7 @@
   });
 }
 
-/** Puts the chunk into a snapshot message; none when the snapshot was replaced meanwhile. */
+/** Adds the chunk to a snapshot message; drops the message if the snapshot has been replaced. */
 export function fillSnapshot(
   node: Node,
   message: Message,
@@ -93,7 +93,7 @@
   ];
 }
 
-/** Whether two sets of commands are the same, for the check at the end. */
+/** Returns the applied commands in log order, for comparison between replicas. */
 export function appliedCommands(node: Node): JsonValue {
   return [...node.applied.entries()].sort(([a], [b]) => a - b);
 }
--- a/packages/consensus/__tests__/replica.spec.ts
+++ b/packages/consensus/__tests__/replica.spec.ts
@@ -15,7 +15,7 @@
 } from '..';
 
 const VOTERS = ['a', 'b', 'c'];
-const FOUNDED: StoredState = {
+const INITIAL_STATE: StoredState = {
   ...BLANK_STATE,
   snapshot: { index: 1, term: 0, configuration: { voters: VOTERS, learners: [] } },
   base: { index: 1, term: 0 },
@@ -24,11 +24,14 @@
 interface Fixture {
   readonly clock: ManualClock;
   readonly replica: Replica;
-  /** Takes what is ready and says that it is on disk. */
+  /** Takes the replica's output and confirms that it is on disk. */
   save(): Ready;
 }
 
-function createFixture(stored: StoredState = FOUNDED, clock = createManualClock(10_000)): Fixture {
+function createFixture(
+  stored: StoredState = INITIAL_STATE,
+  clock = createManualClock(10_000),
+): Fixture {
   const replica = createReplica({
     id: 'a',
     group: 'g',
@@ -47,22 +50,22 @@
   };
 }
 
-function entry(index: number, term: number): LogEntry {
+function createEntry(index: number, term: number): LogEntry {
   return { index, term, payload: { kind: 'command', command: `${index}.${term}` } };
 }
 
-function from(sender: string, body: object): Message {
+function createMessage(sender: string, body: object): Message {
   return { group: 'g', from: sender, to: 'a', ...body } as Message;
 }
 
-function append(
+function createAppend(
   sender: string,
   term: number,
   prev: readonly [number, number],
   entries: readonly LogEntry[],
   commitIndex = 0,
 ): Message {
-  return from(sender, {
+  return createMessage(sender, {
     kind: 'append',
     term,
     prevIndex: prev[0],
@@ -73,14 +76,14 @@
   });
 }
 
-function vote(
+function createVote(
   sender: string,
   term: number,
   lastIndex = 1,
   lastTerm = 0,
   isTransfer = false,
 ): Message {
-  return from(sender, { kind: 'vote', term, lastIndex, lastTerm, isTransfer });
+  return createMessage(sender, { kind: 'vote', term, lastIndex, lastTerm, isTransfer });
 }
 
 function findSent<Kind extends Message['kind']>(ready: Ready, kind: Kind): MessageOf<Kind>[] {
@@ -88,16 +91,16 @@
   return all.filter((message): message is MessageOf<Kind> => message.kind === kind);
 }
 
-/** Makes `a` the leader of a term, with followers that hold its first entry. */
+/** Makes `a` the leader of a new term by the votes of `a` and `b`; returns the term. */
 function elect(fixture: Fixture): number {
   const { replica, clock } = fixture;
   clock.advance(2100);
   replica.tick();
   fixture.save();
   const term = replica.status().term + 1;
-  replica.receive(from('b', { kind: 'pre-vote-reply', term, isGranted: true }));
+  replica.receive(createMessage('b', { kind: 'pre-vote-reply', term, isGranted: true }));
   fixture.save();
-  replica.receive(from('b', { kind: 'vote-reply', term, isGranted: true }));
+  replica.receive(createMessage('b', { kind: 'vote-reply', term, isGranted: true }));
   assert.equal(replica.status().role, 'leader');
   return term;
 }
@@ -109,7 +112,7 @@
   matchIndex: number,
 ): void {
   replica.receive(
-    from(follower, {
+    createMessage(follower, {
       kind: 'append-reply',
       term,
       isAccepted: true,
@@ -123,63 +126,67 @@
   it('does not vote twice in a term, also after a restart', () => {
     const first = createFixture();
     first.clock.advance(1500);
-    // The term is on disk before the vote is asked for, so the vote alone is new.
-    first.replica.receive(append('b', 5, [1, 0], []));
+    // The term is saved before the vote request, so that the save after it contains only the vote.
+    first.replica.receive(createAppend('b', 5, [1, 0], []));
     const stored = first.save().hardState;
     first.clock.advance(1500);
-    first.replica.receive(vote('b', 5));
+    first.replica.receive(createVote('b', 5));
     const ready = first.save();
     assert.equal(findSent(ready, 'vote-reply')[0]?.isGranted, true);
     const hardState = ready.hardState ?? stored ?? BLANK_STATE.hardState;
-    const second = createFixture({ ...FOUNDED, hardState });
+    const second = createFixture({ ...INITIAL_STATE, hardState });
     second.clock.advance(1500);
-    second.replica.receive(vote('c', 5));
+    second.replica.receive(createVote('c', 5));
     assert.equal(findSent(second.save(), 'vote-reply')[0]?.isGranted, false);
   });
 
-  it('hears no candidate while its leader is near, and none right after a restart', () => {
+  it('ignores vote requests while its leader is active, and right after a restart', () => {
     const { replica, clock, save } = createFixture();
-    replica.receive(vote('b', 7));
+    replica.receive(createVote('b', 7));
     assert.deepEqual(
       findSent(save(), 'vote-reply'),
       [],
-      'what it promised before the restart is not known',
+      'a leader contact before the restart is not known',
     );
     clock.advance(1500);
-    replica.receive(append('c', 3, [1, 0], []));
+    replica.receive(createAppend('c', 3, [1, 0], []));
     clock.advance(500);
-    replica.receive(vote('b', 7));
+    replica.receive(createVote('b', 7));
     assert.equal(replica.status().term, 3);
     clock.advance(600);
-    replica.receive(vote('b', 7));
+    replica.receive(createVote('b', 7));
     assert.equal(findSent(save(), 'vote-reply')[0]?.isGranted, true);
   });
 
-  it('hears no candidate though its clock, which may run ahead, says that its leader is far', () => {
+  it('ignores vote requests when only a clock that may run ahead shows the leader as silent', () => {
     const { replica, clock, save } = createFixture();
     clock.advance(1500);
-    replica.receive(append('c', 3, [1, 0], []));
+    replica.receive(createAppend('c', 3, [1, 0], []));
     clock.suspend(5000);
-    replica.receive(vote('b', 7));
-    assert.equal(replica.status().term, 3, "the leader's lease may last as long as this promise");
+    replica.receive(createVote('b', 7));
+    assert.equal(
+      replica.status().term,
+      3,
+      "the leader's lease may last until the vote restriction ends",
+    );
     clock.advance(1100);
-    replica.receive(vote('b', 7));
+    replica.receive(createVote('b', 7));
     assert.equal(findSent(save(), 'vote-reply')[0]?.isGranted, true);
   });
 
   it('refuses its vote to a candidate whose log is behind', () => {
     const { replica, clock, save } = createFixture();
-    replica.receive(append('b', 2, [1, 0], [entry(2, 2), entry(3, 2)]));
+    replica.receive(createAppend('b', 2, [1, 0], [createEntry(2, 2), createEntry(3, 2)]));
     save();
     clock.advance(1500);
-    replica.receive(vote('c', 4, 2, 2));
+    replica.receive(createVote('c', 4, 2, 2));
     assert.equal(findSent(save(), 'vote-reply')[0]?.isGranted, false);
   });
 
   it('does not commit an entry of an earlier term because a majority holds it', () => {
     const fixture = createFixture({
-      ...FOUNDED,
-      entries: [entry(2, 1)],
+      ...INITIAL_STATE,
+      entries: [createEntry(2, 1)],
       hardState: { term: 2, votedFor: null },
     });
     const term = elect(fixture);
@@ -201,13 +208,15 @@
     assert.equal(fixture.replica.status().commitIndex, 2);
   });
 
-  it('keeps entries after a snapshot that it holds already', () => {
+  it('keeps entries after a snapshot that its log already covers', () => {
     const { replica, save } = createFixture();
-    replica.receive(append('b', 2, [1, 0], [entry(2, 2), entry(3, 2), entry(4, 2)], 2));
+    replica.receive(
+      createAppend('b', 2, [1, 0], [createEntry(2, 2), createEntry(3, 2), createEntry(4, 2)], 2),
+    );
     save();
     const meta = { index: 3, term: 2, configuration: { voters: VOTERS, learners: [] } };
     replica.receive(
-      from('b', {
+      createMessage('b', {
         kind: 'snapshot',
         term: 2,
         meta,
@@ -220,28 +229,28 @@
     assert.equal(
       replica.status().lastIndex,
       4,
-      'entry 4 was acknowledged and may be committed by that',
+      'entry 4 was acknowledged and may therefore be committed',
     );
     assert.equal(replica.status().commitIndex, 3);
   });
 
-  it('does not cut its log for an old message that says less', () => {
+  it('does not truncate its log for a delayed message with fewer entries', () => {
     const { replica, save } = createFixture();
-    replica.receive(append('b', 2, [1, 0], [entry(2, 2), entry(3, 2)]));
+    replica.receive(createAppend('b', 2, [1, 0], [createEntry(2, 2), createEntry(3, 2)]));
     save();
-    replica.receive(append('b', 2, [1, 0], [entry(2, 2)]));
+    replica.receive(createAppend('b', 2, [1, 0], [createEntry(2, 2)]));
     assert.equal(replica.status().lastIndex, 3);
   });
 
-  it('commits no further than what it was shown to match', () => {
+  it('commits no further than the index known to match', () => {
     const { replica, save } = createFixture();
-    replica.receive(append('b', 2, [1, 0], [entry(2, 2), entry(3, 2)]));
+    replica.receive(createAppend('b', 2, [1, 0], [createEntry(2, 2), createEntry(3, 2)]));
     save();
-    replica.receive(append('c', 3, [1, 0], [], 3));
+    replica.receive(createAppend('c', 3, [1, 0], [], 3));
     assert.equal(replica.status().commitIndex, 1);
   });
 
-  it('loses its lease for good when a transfer of the lead does not finish', () => {
+  it('loses its lease permanently if a leadership transfer does not complete', () => {
     const fixture = createFixture();
     const term = elect(fixture);
     fixture.save();
@@ -255,7 +264,7 @@
       acknowledge(fixture, 'b', term, 2);
       acknowledge(fixture, 'c', term, 2);
       fixture.replica.tick();
-      assert.equal(fixture.replica.canRead(), false, 'the request to take over may still arrive');
+      assert.equal(fixture.replica.canRead(), false, 'the timeout-now message may still arrive');
     }
   });
 
@@ -277,21 +286,21 @@
     const sentAtMs = fixture.clock.nowMs();
     fixture.clock.suspend(1000);
     assert.equal(fixture.replica.canRead(), false);
-    // An answer from before the stop, read after it, says nothing of now.
+    // A reply to a message sent before the suspension does not renew the lease after it.
     fixture.replica.receive(
-      from('b', { kind: 'append-reply', term, isAccepted: true, matchIndex: 2, sentAtMs }),
+      createMessage('b', { kind: 'append-reply', term, isAccepted: true, matchIndex: 2, sentAtMs }),
     );
     assert.equal(fixture.replica.canRead(), false);
   });
 
-  it('needs more than half of the voters, also of an even number', () => {
+  it('requires more than half of the voters, also for an even number', () => {
     const sizes = [1, 2, 3, 4, 5].map((count) =>
       majorityOf(VOTERS.concat('d', 'e').slice(0, count)),
     );
     assert.deepEqual(sizes, [1, 2, 2, 3, 3]);
   });
 
-  it('takes one step of membership at a time', () => {
+  it('allows one membership change at a time', () => {
     const fixture = createFixture();
     const term = elect(fixture);
     fixture.save();
@@ -307,8 +316,8 @@
   });
 
   describe('that exchanges voters', () => {
-    const LEARNED: StoredState = {
-      ...FOUNDED,
+    const WITH_LEARNERS: StoredState = {
+      ...INITIAL_STATE,
       snapshot: {
         index: 1,
         term: 0,
@@ -323,7 +332,7 @@
     };
 
     function beginExchange(): { readonly fixture: Fixture; readonly term: number } {
-      const fixture = createFixture(LEARNED);
+      const fixture = createFixture(WITH_LEARNERS);
       const term = elect(fixture);
       fixture.save();
       acknowledge(fixture, 'b', term, 2);
@@ -333,7 +342,7 @@
       return { fixture, term };
     }
 
-    it('commits with a majority of the voters before and of those after', () => {
+    it('commits with a majority of the previous and of the new voters', () => {
       [
         ['b', 'c', 'd'],
         ['d', 'e', 'b'],
@@ -341,13 +350,17 @@
         const { fixture, term } = beginExchange();
         acknowledge(fixture, first, term, 4);
         acknowledge(fixture, second, term, 4);
-        assert.equal(fixture.replica.status().commitIndex, 2, `${first} and ${second} are one set`);
+        assert.equal(
+          fixture.replica.status().commitIndex,
+          2,
+          `${first} and ${second} are a majority of one set only`,
+        );
         acknowledge(fixture, third, term, 4);
         assert.equal(fixture.replica.status().commitIndex, 4);
       });
     });
 
-    it('goes on with the new voters alone once both sets agreed, and not before', () => {
+    it('continues with only the new voters once both sets have committed, and not before', () => {
       const { fixture, term } = beginExchange();
       acknowledge(fixture, 'b', term, 3);
       acknowledge(fixture, 'd', term, 3);
@@ -363,18 +376,18 @@
       assert.equal(fixture.replica.proposeConfiguration({ kind: 'remove', replicaId: 'b' }), null);
       fixture.save();
       acknowledge(fixture, 'd', term, 5);
-      assert.equal(fixture.replica.status().commitIndex, 5, 'a and d are two of a, d and e');
+      assert.equal(fixture.replica.status().commitIndex, 5, 'a and d are a majority of a, d and e');
     });
   });
 
-  it('finishes the exchange that an earlier leader began', () => {
+  it('finishes an exchange started by an earlier leader', () => {
     const configuration: Configuration = {
       voters: ['a', 'b', 'd'],
       learners: [],
       outgoing: ['a', 'b', 'c'],
     };
     const fixture = createFixture({
-      ...FOUNDED,
+      ...INITIAL_STATE,
       entries: [{ index: 2, term: 1, payload: { kind: 'configuration', configuration } }],
       hardState: { term: 1, votedFor: null },
     });
@@ -387,49 +400,63 @@
     });
   });
 
-  it('is not elected by one of two sets of voters', () => {
+  it('is not elected by only one of two voter sets', () => {
     const configuration: Configuration = {
       voters: ['a', 'd', 'e'],
       learners: [],
       outgoing: ['a', 'b', 'c'],
     };
     const { replica, clock, save } = createFixture({
-      ...FOUNDED,
+      ...INITIAL_STATE,
       snapshot: { index: 1, term: 0, configuration },
     });
     clock.advance(2100);
     replica.tick();
     save();
-    replica.receive(from('b', { kind: 'pre-vote-reply', term: 1, isGranted: true }));
-    replica.receive(from('c', { kind: 'pre-vote-reply', term: 1, isGranted: true }));
+    replica.receive(createMessage('b', { kind: 'pre-vote-reply', term: 1, isGranted: true }));
+    replica.receive(createMessage('c', { kind: 'pre-vote-reply', term: 1, isGranted: true }));
     assert.equal(replica.status().role, 'pre-candidate');
-    replica.receive(from('e', { kind: 'pre-vote-reply', term: 1, isGranted: true }));
+    replica.receive(createMessage('e', { kind: 'pre-vote-reply', term: 1, isGranted: true }));
     assert.equal(replica.status().role, 'candidate');
   });
 
-  it('seeks election while the entry that takes its vote away may not be in force', () => {
+  it('starts an election while the entry that removes its vote may be uncommitted', () => {
     const configuration: Configuration = { voters: ['b', 'c', 'd'], learners: [] };
     const { replica, clock, save } = createFixture({
-      ...FOUNDED,
+      ...INITIAL_STATE,
       entries: [{ index: 2, term: 1, payload: { kind: 'configuration', configuration } }],
       hardState: { term: 1, votedFor: null },
     });
     clock.advance(2100);
     replica.tick();
-    assert.equal(findSent(save(), 'pre-vote').length, 3, 'nobody else may hold that entry');
-    replica.receive(append('b', 2, [2, 1], [], 2));
+    assert.equal(
+      findSent(save(), 'pre-vote').length,
+      3,
+      'no other replica may have stored that entry',
+    );
+    replica.receive(createAppend('b', 2, [2, 1], [], 2));
     save();
     clock.advance(2100);
     replica.tick();
-    assert.deepEqual(findSent(save(), 'pre-vote'), [], 'it is committed, and this one is out');
+    assert.deepEqual(
+      findSent(save(), 'pre-vote'),
+      [],
+      'the removal is committed, so this replica is not a voter',
+    );
   });
 
-  it('goes on with entries after a follower took in its snapshot', () => {
+  it('continues with entries after a follower has installed its snapshot', () => {
     const fixture = createFixture();
     const term = elect(fixture);
     fixture.save();
     fixture.replica.receive(
-      from('b', { kind: 'append-reply', term, isAccepted: false, matchIndex: 0, sentAtMs: 1 }),
+      createMessage('b', {
+        kind: 'append-reply',
+        term,
+        isAccepted: false,
+        matchIndex: 0,
+        sentAtMs: 1,
+      }),
     );
     assert.equal(findSent(fixture.save(), 'snapshot').length, 1);
     acknowledge(fixture, 'b', term, 1);
@@ -440,25 +467,25 @@
     );
   });
 
-  it('disturbs no one with its term when it comes back from isolation', () => {
+  it('does not disrupt the group with a higher term when it returns from isolation', () => {
     const { replica, clock, save } = createFixture();
     for (let hours = 0; hours < 100; hours += 1) {
       clock.advance(36_000);
       replica.tick();
       save();
     }
-    assert.equal(replica.status().term, 0, 'only pre-votes were asked for');
+    assert.equal(replica.status().term, 0, 'only pre-votes were requested');
   });
 
-  it('gives up a leader that it no longer hears, also where it has no vote', () => {
+  it('discards a leader that has become silent, also as a non-voter', () => {
     const configuration = { voters: ['b', 'c'], learners: ['a'] };
     const snapshot = { index: 1, term: 0, configuration };
-    const { replica, clock } = createFixture({ ...FOUNDED, snapshot });
-    replica.receive(append('b', 3, [1, 0], []));
+    const { replica, clock } = createFixture({ ...INITIAL_STATE, snapshot });
+    replica.receive(createAppend('b', 3, [1, 0], []));
     assert.equal(replica.status().leaderId, 'b');
     clock.advance(2100);
     replica.tick();
     assert.equal(replica.status().leaderId, null);
-    assert.equal(replica.status().role, 'follower', 'it has no vote to campaign with');
+    assert.equal(replica.status().role, 'follower', 'a non-voter starts no election');
   });
 });
--- a/packages/consensus/__tests__/schedules.ts
+++ b/packages/consensus/__tests__/schedules.ts
@@ -1,4 +1,4 @@
-/** Random schedules of faults over a group, each repeatable from its seed. */
+/** Random fault schedules for a group, reproducible by seed. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { MemoryCluster } from './memoryCluster';
@@ -7,18 +7,18 @@
 
 type Operation = (cluster: MemoryCluster, node: Node) => unknown;
 
-/** How often each operation comes up, by kind of schedule. */
+/** An operation and its relative frequency in each kind of schedule. */
 interface WeightedOperation {
   readonly weights: readonly [mixed: number, churn: number, cuts: number, disks: number];
   readonly run: Operation;
 }
 
-function deliverAny(cluster: MemoryCluster): void {
+function deliverRandomMessage(cluster: MemoryCluster): void {
   if (cluster.network.length > 0) cluster.deliver(cluster.random.nextInt(cluster.network.length));
 }
 
-/** Brings a wiped replica back in, as the control role does: out with the old, in with the new. */
-function repair(cluster: MemoryCluster): void {
+/** Replaces the identity of a wiped replica: removes the old one, then adds the new one. */
+function repairMembership(cluster: MemoryCluster): void {
   const leader = cluster.leader();
   const configuration = leader?.replica?.status().configuration;
   if (!leader || !configuration) return;
@@ -37,11 +37,11 @@
 }
 
 /**
- * A disk is taken only while the group can bear it: every replica is a voter, and the change
- * of membership that made it one is committed. Before that the group may still consist of two,
- * and the loss of one of them is more than any majority can make good.
+ * Wipes a disk only if the group tolerates it: every replica is a voter, and the membership change
+ * that made it one is committed. Before that, the group may still consist of two voters and cannot
+ * survive the loss of one.
  */
-function wipeOne(cluster: MemoryCluster, node: Node): void {
+function wipeIfTolerable(cluster: MemoryCluster, node: Node): void {
   const status = cluster.leader()?.replica?.status();
   if (!status || !cluster.nodes.every(({ replica }) => replica)) return;
   const { voters } = status.configuration;
@@ -50,13 +50,13 @@
   if (isWhole && status.commitIndex === status.lastIndex) cluster.wipe(node);
 }
 
-function proposeAtAny(cluster: MemoryCluster, node: Node): void {
+function proposeToRandomLeader(cluster: MemoryCluster, node: Node): void {
   const leaders = cluster.nodes.filter(({ replica }) => replica?.status().role === 'leader');
   cluster.propose(leaders[cluster.random.nextInt(Math.max(1, leaders.length))] ?? node);
 }
 
-/** Time for one replica to seek election, however well the leader is. */
-function letElectionBegin(cluster: MemoryCluster, node: Node): void {
+/** Advances time so that one replica starts an election, even if the leader is healthy. */
+function triggerElection(cluster: MemoryCluster, node: Node): void {
   cluster.advance(600 + cluster.random.nextInt(1200));
   node.replica?.tick();
   cluster.beginSave(node);
@@ -68,31 +68,31 @@
   else cluster.start(node);
 }
 
-/** Crashes and starts again at once: no time passes in which a promise could run out. */
-function restartAtOnce(cluster: MemoryCluster, node: Node): void {
+/** Restarts without advancing time, so that no vote restriction can expire meanwhile. */
+function restartImmediately(cluster: MemoryCluster, node: Node): void {
   if (node.replica) cluster.crash(node);
   cluster.start(node);
 }
 
-/** How a kind of schedule changes the members, and takes disks. */
-export interface MembershipPlay {
+/** How a schedule changes the membership and wipes disks. */
+export interface MembershipStrategy {
   /** Prepares the cluster before its first step. */
   readonly prepare: (cluster: MemoryCluster) => void;
   readonly repair: (cluster: MemoryCluster) => void;
-  /** Brings everyone back in, after the faults. */
-  readonly mend: (cluster: MemoryCluster) => void;
+  /** Makes all replicas members again after the faults. */
+  readonly restoreMembership: (cluster: MemoryCluster) => void;
   readonly wipe: (cluster: MemoryCluster, node: Node) => void;
 }
 
-const REMOVE_THEN_ADD: MembershipPlay = {
+const REMOVE_THEN_ADD: MembershipStrategy = {
   prepare: () => {},
-  repair,
-  mend: repair,
-  wipe: wipeOne,
+  repair: repairMembership,
+  restoreMembership: repairMembership,
+  wipe: wipeIfTolerable,
 };
 
-const listOperations = (play: MembershipPlay): readonly WeightedOperation[] => [
-  { weights: [40, 50, 40, 40], run: deliverAny },
+const listOperations = (strategy: MembershipStrategy): readonly WeightedOperation[] => [
+  { weights: [40, 50, 40, 40], run: deliverRandomMessage },
   { weights: [12, 15, 10, 20], run: (cluster, node) => cluster.beginSave(node) },
   { weights: [12, 15, 10, 12], run: (cluster, node) => cluster.finishSave(node) },
   {
@@ -102,9 +102,9 @@
       cluster.tick();
     },
   },
-  { weights: [2, 6, 3, 2], run: letElectionBegin },
+  { weights: [2, 6, 3, 2], run: triggerElection },
   { weights: [16, 4, 12, 8], run: (cluster) => cluster.runTurn() },
-  { weights: [12, 10, 14, 12], run: proposeAtAny },
+  { weights: [12, 10, 14, 12], run: proposeToRandomLeader },
   {
     weights: [3, 6, 3, 3],
     run(cluster) {
@@ -120,22 +120,22 @@
     },
   },
   { weights: [2, 1, 1, 3], run: crashOrStart },
-  { weights: [1, 4, 1, 6], run: restartAtOnce },
+  { weights: [1, 4, 1, 6], run: restartImmediately },
   {
     weights: [2, 1, 2, 1],
     run(cluster, node) {
-      if (node.isFrozen) cluster.thaw(node);
+      if (node.isFrozen) cluster.unfreeze(node);
       else cluster.freeze(node);
     },
   },
   {
     weights: [1, 2, 10, 1],
     run(_cluster, node) {
-      node.isCut = !node.isCut;
+      node.isPartitioned = !node.isPartitioned;
     },
   },
-  { weights: [2, 1, 2, 3], run: play.repair },
-  { weights: [1, 0, 1, 2], run: play.wipe },
+  { weights: [2, 1, 2, 3], run: strategy.repair },
+  { weights: [1, 0, 1, 2], run: strategy.wipe },
   {
     weights: [1, 2, 3, 1],
     run(_cluster, node) {
@@ -157,7 +157,7 @@
     left -= weights[kind] ?? 0;
     return left < 0;
   });
-  return found?.run ?? deliverAny;
+  return found?.run ?? deliverRandomMessage;
 }
 
 export interface ScheduleResult {
@@ -165,20 +165,20 @@
   readonly terms: number;
 }
 
-/** Runs one schedule and then checks that nothing acknowledged was lost. */
+/** Runs one schedule and checks that no acknowledged entry is lost. */
 export function runSchedule(
   seed: number,
   steps: number,
-  play: MembershipPlay = REMOVE_THEN_ADD,
+  strategy: MembershipStrategy = REMOVE_THEN_ADD,
 ): ScheduleResult {
-  const operations = listOperations(play);
+  const operations = listOperations(strategy);
   const kind = seed % KINDS;
   const cluster = new MemoryCluster({
     seed,
     size: seed % 5 === 0 ? 5 : 3,
     snapshotEvery: seed % 3 === 0 ? 3 : 9,
   });
-  play.prepare(cluster);
+  strategy.prepare(cluster);
   if (cluster.random.nextInt(4) > 0) cluster.electLeader();
   for (let step = 0; step < steps; step += 1) {
     const node = cluster.nodes[cluster.random.nextInt(cluster.nodes.length)];
@@ -186,16 +186,16 @@
     cluster.checkInvariants();
   }
   const acked = cluster.ackedIndex;
-  cluster.settle(60);
+  cluster.runWithoutFaults(60);
   for (let round = 0; round < 8; round += 1) {
-    play.mend(cluster);
-    cluster.settle(6);
+    strategy.restoreMembership(cluster);
+    cluster.runWithoutFaults(6);
   }
   const leader = cluster.leader();
   assert.ok(leader, `seed ${seed}: no leader after the faults`);
   assert.ok(
     leader.appliedIndex >= acked,
-    `seed ${seed}: ${acked} was acknowledged, ${leader.appliedIndex} is left`,
+    `seed ${seed}: entry ${acked} was acknowledged, but the leader ends at ${leader.appliedIndex}`,
   );
   cluster.nodes.forEach((node) => {
     assert.deepEqual(
@@ -211,14 +211,14 @@
 const SCHEDULES = 10_000;
 const STEPS = 150;
 
-/** One of four equal parts of the schedules; each is a test file, so that they run side by side. */
+/** One of four equal parts of the schedules, in a test file each so that they run in parallel. */
 export function describeSchedules(part: number): void {
   describe('a replicated log under faults', () => {
-    it(`keeps what it acknowledged and reads nothing stale, part ${part} of ${PARTS}`, () => {
+    it(`loses no acknowledged entry and serves no stale read, part ${part} of ${PARTS}`, () => {
       let committed = 0;
       for (let seed = part; seed <= SCHEDULES; seed += PARTS)
         committed += runSchedule(seed, STEPS).committed;
-      assert.ok(committed > SCHEDULES / PARTS, 'the schedules get work done');
+      assert.ok(committed > SCHEDULES / PARTS, 'the schedules commit entries');
     });
   });
 }
