--- a/packages/entry/__tests__/gate.spec.ts
+++ b/packages/entry/__tests__/admissionControl.spec.ts
@@ -4,14 +4,14 @@
 import type { Policy } from '@spoolplank/settings';
 import { createManualClock } from '@spoolplank/shared';
 import type { CallerRequest } from '../src/sessions/callerRequest';
-import { createGate } from '../src/sessions/gate';
+import { createAdmissionControl } from '../src/sessions/admissionControl';
 import type { SettingsMirror } from '../src/sessions/settingsMirror';
 
 function createFixture(overrides: Partial<Policy>) {
   const policy: Policy = { ...DEFAULT_POLICY, ...overrides };
   const clock = createManualClock(1000);
   const mirror = { policyOf: () => policy } as unknown as SettingsMirror;
-  const gate = createGate(mirror, clock);
+  const admissionControl = createAdmissionControl(mirror, clock);
   let requests = 0;
   const releases: (() => void)[] = [];
 
@@ -24,7 +24,7 @@
       policy,
       receivedAtMs: clock.nowMs(),
       statedDeadlineMs: clock.nowMs() + deadlineMs,
-      isDeadlineForStart: false,
+      isFirstTokenDeadline: false,
       isRepeatable: true,
       idempotencyKey: undefined,
       keyIssuedWallMs: undefined,
@@ -33,11 +33,11 @@
 
   return {
     clock,
-    gate,
+    admissionControl,
     createCaller,
-    /** Runs until it is released; resolves with the name. */
+    /** Runs a request until `release` ends it; resolves with the request's id. */
     run: (caller: CallerRequest) =>
-      gate.run(
+      admissionControl.run(
         caller,
         () =>
           new Promise<string>((resolve) => {
@@ -55,9 +55,11 @@
   for (let turn = 0; turn < 20; turn += 1) await Promise.resolve();
 }
 
-describe('gate', () => {
-  it('refuses at once, as not run and with a time, what cannot meet its deadline', async () => {
-    const { gate, clock, createCaller, run, release } = createFixture({ maxInFlight: 1 });
+describe('admission control', () => {
+  it('rejects a request that cannot meet its deadline as not run, with a retry delay', async () => {
+    const { admissionControl, clock, createCaller, run, release } = createFixture({
+      maxInFlight: 1,
+    });
     const first = run(createCaller('a'));
     await settle();
     clock.advance(200);
@@ -66,19 +68,19 @@
     const running = run(createCaller('a'));
     const waiting = run(createCaller('a'));
     await settle();
-    assert.throws(() => gate.check(createCaller('a', 300)), {
+    assert.throws(() => admissionControl.check(createCaller('a', 300)), {
       code: 'overloaded',
       outcome: 'not-run',
       retryAfterMs: 400,
     });
-    gate.check(createCaller('a', 5000));
+    admissionControl.check(createCaller('a', 5000));
     await release();
     await running;
     await release();
     await waiting;
   });
 
-  it('lets the newest request of who has most waiting give way in a full queue', async () => {
+  it('evicts the newest request of the organisation with most queued requests from a full queue', async () => {
     const { createCaller, run, release } = createFixture({ maxInFlight: 1, maxQueueLength: 3 });
     const running = run(createCaller('flood'));
     await settle();
@@ -86,16 +88,18 @@
     await settle();
     const newest = waiting.at(-1);
     assert.ok(newest);
-    const turnedAway = assert.rejects(newest, { code: 'overloaded', outcome: 'not-run' });
+    const evicted = assert.rejects(newest, { code: 'overloaded', outcome: 'not-run' });
     const small = run(createCaller('small'));
-    await turnedAway;
+    await evicted;
     await assert.rejects(run(createCaller('flood')), { code: 'overloaded' });
     for (let slot = 0; slot < 4; slot += 1) await release();
     assert.equal((await Promise.all([running, small, ...waiting.slice(0, 2)])).length, 4);
   });
 
-  it('spends no slot on a request that waited until it must be late', async () => {
-    const { clock, createCaller, run, release, gate } = createFixture({ maxInFlight: 1 });
+  it('gives no slot to a queued request that can no longer meet its deadline', async () => {
+    const { clock, createCaller, run, release, admissionControl } = createFixture({
+      maxInFlight: 1,
+    });
     const quick = run(createCaller('a'));
     await settle();
     clock.advance(10);
@@ -110,11 +114,13 @@
     await release();
     await first;
     await late;
-    assert.equal(gate.running, 0);
+    assert.equal(admissionControl.running, 0);
   });
 
-  it('asks only for the first token in time where a session states no deadline', async () => {
-    const { gate, clock, createCaller, run, release } = createFixture({ maxInFlight: 2 });
+  it('applies the deadline to the first token only where a session has no explicit deadline', async () => {
+    const { admissionControl, clock, createCaller, run, release } = createFixture({
+      maxInFlight: 2,
+    });
     const first = run(createCaller('a'));
     await settle();
     clock.advance(200);
@@ -122,15 +128,15 @@
     await first;
     const running = [run(createCaller('a')), run(createCaller('a'))];
     await settle();
-    // A slot comes free in 100 ms by estimate; a mean run takes 200 ms.
-    assert.throws(() => gate.check(createCaller('a', 300)), { code: 'overloaded' });
-    gate.check({ ...createCaller('a', 300), isDeadlineForStart: true });
+    // The estimated wait for a slot is 100 ms, and the mean run time is 200 ms.
+    assert.throws(() => admissionControl.check(createCaller('a', 300)), { code: 'overloaded' });
+    admissionControl.check({ ...createCaller('a', 300), isFirstTokenDeadline: true });
     await release();
     await release();
     await Promise.all(running);
   });
 
-  it('takes nothing for a branch that is disabled', async () => {
+  it('rejects requests of a disabled branch', async () => {
     const { createCaller, run } = createFixture({ isEnabled: false });
     await assert.rejects(run(createCaller('a')), { code: 'forbidden', outcome: 'not-run' });
   });
--- a/packages/entry/__tests__/decisions.spec.ts
+++ b/packages/entry/__tests__/decisions.spec.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { createManualClock } from '@spoolplank/shared';
 import { createReachTracker } from '@spoolplank/controller';
-import { readKeyTime } from '../src/sessions/callerRequest';
+import { readKeyTimestamp } from '../src/sessions/callerRequest';
 import { copyRequestHeaders } from '../src/sessions/forwardedHeaders';
 import { createSessionStore, toSessionUpdate } from '../src/sessions/sessionStore';
 import { createStagePatience } from '../src/sessions/stagePatience';
@@ -129,8 +129,8 @@
   });
 
   it('tell the age of a key of the form UUID version 7, and of no other', () => {
-    assert.equal(readKeyTime('0193a5c8-1c00-7abc-8def-0123456789ab'), 0x0193a5c81c00);
-    assert.equal(readKeyTime('0193a5c8-1c00-4abc-8def-0123456789ab'), undefined);
-    assert.equal(readKeyTime('order-17'), undefined);
+    assert.equal(readKeyTimestamp('0193a5c8-1c00-7abc-8def-0123456789ab'), 0x0193a5c81c00);
+    assert.equal(readKeyTimestamp('0193a5c8-1c00-4abc-8def-0123456789ab'), undefined);
+    assert.equal(readKeyTimestamp('order-17'), undefined);
   });
 });
--- a/packages/entry/__tests__/settingsMirror.spec.ts
+++ b/packages/entry/__tests__/settingsMirror.spec.ts
@@ -14,7 +14,7 @@
 
 const LOGGER = { debug: () => {}, info: () => {}, warn: () => {}, error: () => {} };
 
-describe('the settings on an entry VM', () => {
+describe('settings on an entry VM', () => {
   let dataFolder: string;
   const mirrors: SettingsMirror[] = [];
 
@@ -45,14 +45,14 @@
       random: createSeededRandom(1),
       settings: { vm, peers: [], dataFolder },
     } as unknown as VmContext;
-    let answer: SettingsPullReply | undefined;
-    let asked = 0;
+    let nextReply: SettingsPullReply | undefined;
+    let calls = 0;
     const control: ControlClient = {
       call<Result>() {
-        asked += 1;
-        const reply = answer;
-        // An answer is given once; after that the source is silent.
-        answer = undefined;
+        calls += 1;
+        const reply = nextReply;
+        // Each reply is given once; further calls fail until the next `replyOnceWith`.
+        nextReply = undefined;
         return reply ? Promise.resolve(reply as Result) : Promise.reject(new Error('silent'));
       },
     };
@@ -62,19 +62,19 @@
       clock,
       metrics,
       mirror,
-      async answerWith(version: number, waitedMs = 0) {
+      async replyOnceWith(version: number, waitedMs = 0) {
         const tree = { policy: { priority: version % 10 } };
-        answer = { version, waitedMs, leaseMs: 3000, delta: { kind: 'tree', version, tree } };
-        const askedBefore = asked;
-        while (asked < askedBefore + 2) await delay(5);
+        nextReply = { version, waitedMs, leaseMs: 3000, delta: { kind: 'tree', version, tree } };
+        const callsBefore = calls;
+        while (calls < callsBefore + 2) await delay(5);
       },
     };
   }
 
-  it('count as confirmed from when the question was sent, and not longer than the lease', async () => {
-    const { clock, mirror, answerWith } = createFixture();
+  it('count as confirmed for one lease duration from when the pull was sent plus its wait', async () => {
+    const { clock, mirror, replyOnceWith } = createFixture();
     await mirror.start();
-    await answerWith(5, 500);
+    await replyOnceWith(5, 500);
     assert.equal(mirror.version, 5);
     assert.equal(mirror.remainingMs(), 3500);
     clock.advance(3499);
@@ -83,23 +83,23 @@
     assert.equal(mirror.isFresh(), false);
   });
 
-  it('never go back to a lower version, also after a restart', async () => {
-    const { mirror, metrics, answerWith } = createFixture();
+  it('never revert to a lower version, even after a restart', async () => {
+    const { mirror, metrics, replyOnceWith } = createFixture();
     await mirror.start();
-    await answerWith(4);
-    assert.equal(mirror.isFresh(), false, 'version 5 was in force here before');
+    await replyOnceWith(4);
+    assert.equal(mirror.isFresh(), false, 'version 5 was in force before the restart');
     assert.equal(mirror.version, 0);
     assert.equal(metrics.valueOf('spoolplank_settings_older_refused_total'), 1);
-    await answerWith(6);
+    await replyOnceWith(6);
     assert.equal(mirror.isFresh(), true);
-    await answerWith(5);
+    await replyOnceWith(5);
     assert.equal(mirror.version, 6);
   });
 
-  it('are passed on to other VMs with no more than what is left of the lease', async () => {
-    const { clock, mirror, answerWith } = createFixture();
+  it('are relayed to other VMs with no more than the remaining time of the lease', async () => {
+    const { clock, mirror, replyOnceWith } = createFixture();
     await mirror.start();
-    await answerWith(7);
+    await replyOnceWith(7);
     clock.advance(1000);
     const reply = await mirror.relay({ reports: [], sinceVersion: 0, waitMs: 0 });
     assert.equal(reply.leaseMs, 2000);
--- a/packages/entry/src/sessions/addresses.ts
+++ b/packages/entry/src/sessions/addresses.ts
@@ -33,7 +33,7 @@
   context: EntryContext,
   dataCentre: string | undefined,
 ): readonly WeightedAddress[] {
-  const capacity = Math.max(1, context.gate.capacity);
+  const capacity = Math.max(1, context.admissionControl.capacity);
   const live = context.directorySync.directory
     .listLive()
     .map(({ announcement }) => announcement)
--- a/packages/entry/src/sessions/gate.ts
+++ b/packages/entry/src/sessions/admissionControl.ts
@@ -1,7 +1,7 @@
 /**
- * Lets requests through to the backend servers: limits, fair queues, and time in the queue.
- * What cannot be done in time is refused at once, with when to come back; see
- * docs/design/overload.md.
+ * Admission control for requests to backend servers: concurrency limits, fair queues and bounds
+ * on the time in the queue. A request that cannot meet its deadline is rejected immediately with
+ * a retry delay; see docs/design/overload.md.
  */
 import PQueue from 'p-queue';
 import { createAdmission, createFairQueueClass, FairQueue } from '@spoolplank/routing';
@@ -17,22 +17,23 @@
 import { deadlineOf } from './callerRequest';
 import type { SettingsMirror } from './settingsMirror';
 
-export interface Gate {
+export interface AdmissionControl {
   readonly running: number;
   readonly waiting: number;
-  /** Greatest number of requests this VM runs at once. */
+  /** Maximum number of requests that this VM runs concurrently. */
   readonly capacity: number;
   /**
-   * Refuses at once what `run` would refuse at once, before its body is read.
+   * Applies the checks that `run` makes on arrival, so that a request can be rejected before its
+   * body is read.
    *
    * @throws SpoolplankError `overloaded` or `forbidden`.
    */
   check(caller: CallerRequest): void;
   /**
-   * Runs work once there is room for it.
+   * Runs work as soon as the concurrency limits allow it.
    *
    * @throws SpoolplankError `overloaded` when limits are reached, the deadline cannot be met,
-   * or the request had to give way to another; the work was not begun then.
+   * or the request was evicted from the queue in favour of another; the work has not started then.
    */
   run<Result>(caller: CallerRequest, work: () => Promise<Result>): Promise<Result>;
   counts(): ReturnType<Admission['counts']>;
@@ -40,12 +41,12 @@
 
 interface ServiceQueue {
   readonly queue: PQueue<FairQueue, FairQueueOptions>;
-  readonly lanes: FairQueue;
-  /** Moving average of how long a request of this service runs. */
+  readonly fairQueue: FairQueue;
+  /** Moving average of the run time of requests to this service. */
   meanDurationMs: number;
 }
 
-/** A request in the queue, which can be turned away. */
+/** A queued request, which can still be evicted. */
 interface QueuedRequest {
   readonly ticket: AdmissionTicket;
   readonly controller: AbortController;
@@ -53,14 +54,15 @@
 
 const MIN_RETRY_AFTER_MS = 100;
 const MAX_RETRY_AFTER_MS = 30_000;
-const DURATION_WEIGHT = 0.05;
+const MEAN_DURATION_WEIGHT = 0.05;
 /**
- * Share of the time to the deadline that waiting may take by estimate. A queue that is let grow
- * to the edge makes half of its requests miss the deadline by a little, after they ran.
+ * Maximum share of the time to the deadline that the estimated wait may take. If the queue may
+ * grow until the estimate equals that time, half of its requests run and then narrowly miss the
+ * deadline.
  */
-const WAIT_SHARE = 0.6;
+const MAX_WAIT_SHARE = 0.6;
 
-function branchesOf(caller: CallerRequest, mirror: SettingsMirror): readonly AdmissionBranch[] {
+function listBranches(caller: CallerRequest, mirror: SettingsMirror): readonly AdmissionBranch[] {
   const { organisation, service, policy } = caller;
   return [
     { pointer: '', policy: mirror.policyOf({}) },
@@ -74,11 +76,11 @@
   return Math.round(Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, waitMs)));
 }
 
-function refuse(detail: string, waitMs: number): SpoolplankError {
+function createOverloadedError(detail: string, waitMs: number): SpoolplankError {
   return new SpoolplankError('overloaded', { detail, retryAfterMs: toRetryAfterMs(waitMs) });
 }
 
-export function createGate(mirror: SettingsMirror, clock: Clock): Gate {
+export function createAdmissionControl(mirror: SettingsMirror, clock: Clock): AdmissionControl {
   const admission = createAdmission();
   const services = new Map<string, ServiceQueue>();
   const waiting = new Map<string, QueuedRequest>();
@@ -92,12 +94,12 @@
           policy: mirror.policyOf({ organisation, service }),
         },
       ]);
-    let lanes = new FairQueue();
+    let fairQueue = new FairQueue();
     const queueClass = createFairQueueClass(hasRoom, (created) => {
-      lanes = created;
+      fairQueue = created;
     });
     const queue = new PQueue<FairQueue, FairQueueOptions>({ concurrency, queueClass });
-    return { queue, lanes, meanDurationMs: 0 };
+    return { queue, fairQueue, meanDurationMs: 0 };
   }
 
   function serviceOf(service: string): ServiceQueue {
@@ -108,55 +110,67 @@
     return known;
   }
 
-  /** How long a new request of an organisation would wait, by its share of the slots. */
+  /** Estimates the wait of a new request from its organisation's weighted share of the slots. */
   function estimateWaitMs({ organisation, service, policy }: CallerRequest): number {
-    const { queue, lanes, meanDurationMs } = serviceOf(service);
+    const { queue, fairQueue, meanDurationMs } = serviceOf(service);
     if (queue.pending < queue.concurrency) return 0;
-    const inFront = lanes.waitingOf(organisation);
-    const activeWeight = lanes.activeWeight + (inFront === 0 ? policy.weight : 0);
+    const queuedAhead = fairQueue.waitingOf(organisation);
+    const activeWeight = fairQueue.activeWeight + (queuedAhead === 0 ? policy.weight : 0);
     const slots = queue.concurrency * (policy.weight / activeWeight);
-    return ((inFront + 1) * meanDurationMs) / slots;
+    return ((queuedAhead + 1) * meanDurationMs) / slots;
   }
 
-  /** Turns a waiting request away for a new one; false when the new one has to go. */
-  function makeRoom(
+  /**
+   * Evicts a queued request in favour of a new one. Returns false when there is none to evict and
+   * the new request has to be rejected.
+   */
+  function evictQueuedRequest(
     { organisation, service, policy }: CallerRequest,
-    full: AdmissionBranch,
+    fullBranch: AdmissionBranch,
   ): boolean {
-    const { lanes, meanDurationMs, queue } = serviceOf(service);
-    // A limit of the organisation itself is nobody else's to give way for.
-    const isShared = full.pointer === '' || full.pointer.startsWith('/services/');
-    const victim = isShared
-      ? lanes.findVictim(organisation, policy.weight, policy.priority)
+    const { fairQueue, meanDurationMs, queue } = serviceOf(service);
+    // Evicting other organisations' requests frees no capacity under this organisation's own limit.
+    const isShared = fullBranch.pointer === '' || fullBranch.pointer.startsWith('/services/');
+    const victimId = isShared
+      ? fairQueue.findVictim(organisation, policy.weight, policy.priority)
       : undefined;
-    const request = victim === undefined ? undefined : waiting.get(victim);
-    if (victim === undefined || !request) return false;
-    waiting.delete(victim);
+    const request = victimId === undefined ? undefined : waiting.get(victimId);
+    if (victimId === undefined || !request) return false;
+    waiting.delete(victimId);
     request.ticket.end();
-    const waitMs = (lanes.waiting * meanDurationMs) / queue.concurrency;
-    request.controller.abort(refuse('The queue is full and others have had less.', waitMs));
+    const waitMs = (fairQueue.waiting * meanDurationMs) / queue.concurrency;
+    request.controller.abort(
+      createOverloadedError('Evicted from the full queue in favour of another request.', waitMs),
+    );
     return true;
   }
 
-  /** What must fit between the end of the wait and the deadline. */
-  function runTimeMs({ service, isDeadlineForStart }: CallerRequest): number {
-    return isDeadlineForStart ? 0 : serviceOf(service).meanDurationMs;
+  /**
+   * Time to reserve for the run between the end of the wait and the deadline; none where the
+   * deadline applies to the first token only.
+   */
+  function reservedRunTimeMs({ service, isFirstTokenDeadline }: CallerRequest): number {
+    return isFirstTokenDeadline ? 0 : serviceOf(service).meanDurationMs;
   }
 
-  function assertInTime(caller: CallerRequest): void {
+  function assertDeadlineFeasible(caller: CallerRequest): void {
     const waitMs = estimateWaitMs(caller);
-    const untilDeadlineMs = deadlineOf(caller) - clock.nowMs() - runTimeMs(caller);
-    const leftMs = Math.min(untilDeadlineMs * WAIT_SHARE, caller.policy.maxQueueTimeMs);
-    if (waitMs > 0 && waitMs > leftMs) throw refuse('The deadline cannot be met.', waitMs);
+    const untilDeadlineMs = deadlineOf(caller) - clock.nowMs() - reservedRunTimeMs(caller);
+    const allowedWaitMs = Math.min(untilDeadlineMs * MAX_WAIT_SHARE, caller.policy.maxQueueTimeMs);
+    if (waitMs > 0 && waitMs > allowedWaitMs)
+      throw createOverloadedError('The deadline cannot be met.', waitMs);
   }
 
-  /** A slot is not spent on what will be late, unless it never waited. */
-  function assertWorthRunning(caller: CallerRequest): void {
-    const neededMs = runTimeMs(caller);
+  /**
+   * Rejects a queued request that can no longer finish before its deadline, so that it takes no
+   * slot. A request that has waited for no longer than the mean run time runs regardless.
+   */
+  function assertDeadlineStillFeasible(caller: CallerRequest): void {
+    const requiredMs = reservedRunTimeMs(caller);
     const nowMs = clock.nowMs();
-    const hasWaited = nowMs - caller.receivedAtMs > neededMs;
-    if (hasWaited && deadlineOf(caller) - nowMs < neededMs) {
-      throw refuse('The deadline cannot be met any more.', neededMs);
+    const hasWaited = nowMs - caller.receivedAtMs > requiredMs;
+    if (hasWaited && deadlineOf(caller) - nowMs < requiredMs) {
+      throw createOverloadedError('The deadline can no longer be met.', requiredMs);
     }
   }
 
@@ -168,17 +182,17 @@
 
   function admit(caller: CallerRequest): AdmissionTicket {
     assertEnabled(caller);
-    assertInTime(caller);
-    const branches = branchesOf(caller, mirror);
-    const full = admission.findFull(branches);
-    if (full) makeRoom(caller, full);
+    assertDeadlineFeasible(caller);
+    const branches = listBranches(caller, mirror);
+    const fullBranch = admission.findFull(branches);
+    if (fullBranch) evictQueuedRequest(caller, fullBranch);
     return admission.admit(branches);
   }
 
-  /** An organisation that ended a request of one service may have room for one of another. */
-  function wakeOthers(service: string): void {
+  /** A finished request may bring its organisation below its limit for other services as well. */
+  function rescheduleOtherServices(service: string): void {
     services.forEach(({ queue }, name) => {
-      // Setting it makes the queue look again for what may start.
+      // Assigning the concurrency makes p-queue check again which tasks may start.
       if (name !== service) queue.concurrency = Math.max(1, queue.concurrency);
     });
   }
@@ -187,13 +201,15 @@
     const untilDeadlineMs = deadlineOf(caller) - clock.nowMs();
     const waitMs = Math.min(caller.policy.maxQueueTimeMs, Math.max(0, untilDeadlineMs));
     return setTimeout(() => {
-      controller.abort(refuse('The wait in the queue grew too long.', waitMs));
+      controller.abort(
+        createOverloadedError('The request exceeded the maximum time in the queue.', waitMs),
+      );
     }, waitMs);
   }
 
   function recordDuration(service: string, durationMs: number): void {
     const known = serviceOf(service);
-    const weight = known.meanDurationMs === 0 ? 1 : DURATION_WEIGHT;
+    const weight = known.meanDurationMs === 0 ? 1 : MEAN_DURATION_WEIGHT;
     known.meanDurationMs += weight * (durationMs - known.meanDurationMs);
     admission.observeDuration(durationMs);
   }
@@ -213,7 +229,7 @@
     },
     check(caller) {
       assertEnabled(caller);
-      assertInTime(caller);
+      assertDeadlineFeasible(caller);
     },
     async run<Result>(caller: CallerRequest, work: () => Promise<Result>) {
       const { organisation, service, policy, requestId } = caller;
@@ -224,7 +240,7 @@
       const task = async () => {
         clearTimeout(timer);
         waiting.delete(requestId);
-        assertWorthRunning(caller);
+        assertDeadlineStillFeasible(caller);
         ticket.start();
         const startedMs = clock.nowMs();
         try {
@@ -232,7 +248,7 @@
         } finally {
           ticket.end();
           recordDuration(service, clock.nowMs() - startedMs);
-          wakeOthers(service);
+          rescheduleOtherServices(service);
         }
       };
       const { weight, priority } = policy;
--- a/packages/entry/src/sessions/backendServers.ts
+++ b/packages/entry/src/sessions/backendServers.ts
@@ -1,68 +1,70 @@
 /**
- * The backend servers that new work may go to, with their loads taken in, and those that back off.
+ * Selects the backend servers that may receive new requests: records their announced loads and
+ * leaves out those in backoff.
  */
 import type { Announcement } from '@spoolplank/membership';
 import { parseBackoffMs } from '@spoolplank/node';
 import { ENTRY_SERVICE } from './directorySync';
 import type { EntryContext } from './entryContext';
 
-/** Only this status asks for a backoff. */
-const TURNED_AWAY = 503;
+/** A `Retry-After` header requests a backoff only with this status. */
+const BACKOFF_STATUS = 503;
 
-/** A backoff holds for one incarnation of a server: the next one wants work. */
-function backoffNameOf({ name, incarnation }: Pick<Announcement, 'name' | 'incarnation'>): string {
+/** A backoff applies to one incarnation of a server; a restarted server accepts requests again. */
+function backoffKeyOf({ name, incarnation }: Pick<Announcement, 'name' | 'incarnation'>): string {
   return `${name}/${incarnation}`;
 }
 
-function listAnnounced({ directorySync }: EntryContext): readonly Announcement[] {
+function listAnnouncedServers({ directorySync }: EntryContext): readonly Announcement[] {
   return directorySync.directory
     .listLive()
     .map(({ announcement }) => announcement)
     .filter(({ services }) => !services.includes(ENTRY_SERVICE));
 }
 
-/** All that are announced, but for those that want nothing from this VM now. */
+/** All announced backend servers except those in backoff for this VM. */
 export function listBackendServers(context: EntryContext): readonly Announcement[] {
   const { loads, backoffs } = context;
-  const announced = listAnnounced(context);
+  const announced = listAnnouncedServers(context);
   announced.forEach((announcement) => loads.report(announcement));
-  return announced.filter((announcement) => !backoffs.isHeldBack(backoffNameOf(announcement)));
+  return announced.filter((announcement) => !backoffs.isHeldBack(backoffKeyOf(announcement)));
 }
 
-/** What a server answered when it did not take a request. */
-export interface TurnedAway {
+/** The answer with which a server rejected a request. */
+export interface RejectedAnswer {
   readonly status: number;
   readonly retryAfter: string | undefined;
 }
 
-/** Takes in that a server turned a request away; it backs off if it asked for that. */
-export function recordTurnedAway(
+/** Records that a server rejected a request, and starts a backoff if the answer requests one. */
+export function recordRejection(
   { directorySync, backoffs, logger }: EntryContext,
   name: string,
-  { status, retryAfter = '' }: TurnedAway,
+  { status, retryAfter = '' }: RejectedAnswer,
 ): void {
-  const backoffMs = status === TURNED_AWAY ? parseBackoffMs([retryAfter]) : null;
+  const backoffMs = status === BACKOFF_STATUS ? parseBackoffMs([retryAfter]) : null;
   const row = directorySync.directory.findLive(name);
   if (backoffMs === null || !row) return;
-  const hasBegun = backoffs.record(backoffNameOf(row.announcement), backoffMs);
+  const hasBegun = backoffs.record(backoffKeyOf(row.announcement), backoffMs);
   if (hasBegun) logger.info('server-backoff', { name, backoffMs });
 }
 
-/** Records that something is sent to a server. */
+/** Records that a request is sent to a server, for its backoff state. */
 export function recordSent({ directorySync, backoffs }: EntryContext, name: string): void {
   const row = directorySync.directory.findLive(name);
-  if (row) backoffs.recordSent(backoffNameOf(row.announcement));
+  if (row) backoffs.recordSent(backoffKeyOf(row.announcement));
 }
 
 /**
- * When a caller of a service is to come back for which there is no server, in milliseconds: when it
- * is its turn after the first backoff, where servers back off, or else `otherwiseMs`.
+ * Retry delay in milliseconds for a caller of a service that has no available server. Where servers
+ * of the service are in backoff, the delay staggers callers after the end of the first backoff;
+ * otherwise it is `defaultMs`.
  */
-export function retryAfterMs(context: EntryContext, service: string, otherwiseMs: number): number {
-  const backoffsMs = listAnnounced(context)
+export function retryAfterMs(context: EntryContext, service: string, defaultMs: number): number {
+  const backoffsMs = listAnnouncedServers(context)
     .filter(({ services }) => services.includes(service))
-    .map((announcement) => context.backoffs.remainingMs(backoffNameOf(announcement)))
+    .map((announcement) => context.backoffs.remainingMs(backoffKeyOf(announcement)))
     .filter((backoffMs) => backoffMs > 0);
-  if (backoffsMs.length === 0) return otherwiseMs;
+  if (backoffsMs.length === 0) return defaultMs;
   return context.backoffs.retryAfterMs(service, Math.min(...backoffsMs));
 }
--- a/packages/entry/src/sessions/callerRequest.ts
+++ b/packages/entry/src/sessions/callerRequest.ts
@@ -1,4 +1,4 @@
-/** What the headers of a caller's request say, checked. */
+/** Parses and validates the headers of a caller's request. */
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage } from 'node:http';
 import { digestToken, readBearerToken, readSingleHeader } from '@spoolplank/node';
@@ -12,16 +12,16 @@
   readonly service: string;
   readonly policy: Policy;
   readonly receivedAtMs: number;
-  /** When the caller stops waiting; undefined when it set no deadline of its own. */
+  /** When the caller stops waiting; undefined when the request has no deadline header. */
   readonly statedDeadlineMs: number | undefined;
   /**
-   * Whether the deadline is for the first token only, as for sessions with a model that state
-   * none: they may last for hours.
+   * Whether the deadline applies to the first token only. This holds for sessions with a model
+   * that have no explicit deadline, since they may last for hours.
    */
-  readonly isDeadlineForStart: boolean;
+  readonly isFirstTokenDeadline: boolean;
   readonly isRepeatable: boolean;
   readonly idempotencyKey: string | undefined;
-  /** When the key was made, on the caller's wall clock; undefined when the key does not say. */
+  /** When the key was created, on the caller's wall clock; undefined unless it is a UUIDv7. */
   readonly keyIssuedWallMs: number | undefined;
 }
 
@@ -66,14 +66,14 @@
   return key;
 }
 
-/** The time inside a key of the form UUID version 7 (RFC 9562). */
-export function readKeyTime(key: string | undefined): number | undefined {
+/** Timestamp of a key in UUID version 7 format (RFC 9562); undefined for any other key. */
+export function readKeyTimestamp(key: string | undefined): number | undefined {
   const match = UUID_V7_PATTERN.exec(key ?? '');
   return match ? Number.parseInt(`${match[1]}${match[2]}`, 16) : undefined;
 }
 
 /**
- * Finds out whose request it is.
+ * Returns the organisation that the request's bearer token belongs to.
  *
  * @throws SpoolplankError `unauthorized`.
  */
@@ -84,7 +84,7 @@
   return organisation;
 }
 
-/** Reads and checks the headers that a request to a service may carry. */
+/** Parses and validates the headers that a request to a service may carry. */
 export function readCallerRequest(
   request: IncomingMessage,
   organisation: string,
@@ -102,15 +102,15 @@
     policy,
     receivedAtMs,
     statedDeadlineMs: durationMs === undefined ? undefined : receivedAtMs + durationMs,
-    isDeadlineForStart:
+    isFirstTokenDeadline:
       durationMs === undefined && mirror.tree.services?.[service]?.kind === 'model',
     isRepeatable: readRepeatable(request, policy.isRepeatable),
     idempotencyKey,
-    keyIssuedWallMs: readKeyTime(idempotencyKey),
+    keyIssuedWallMs: readKeyTimestamp(idempotencyKey),
   };
 }
 
-/** When an answer comes too late. */
+/** The explicit deadline, or the one from the policy. */
 export function deadlineOf({ statedDeadlineMs, receivedAtMs, policy }: CallerRequest): number {
   return statedDeadlineMs ?? receivedAtMs + policy.deadlineMs;
 }
--- a/packages/entry/src/sessions/claimsClient.ts
+++ b/packages/entry/src/sessions/claimsClient.ts
@@ -1,10 +1,10 @@
-/** Claims of idempotency keys, gathered so that many share one request and one sync. */
+/** Claims of idempotency keys, batched so that many share one request and one disk sync. */
 import type { ClaimResult, ControlRequest, StoredAnswer } from '@spoolplank/control';
 import { delay } from '@spoolplank/node';
 import { SpoolplankError, toSpoolplankError } from '@spoolplank/shared';
 import type { ControlClient } from './controlClient';
 
-/** The claim of one request. */
+/** Identifies the claim of one request. */
 export interface ClaimIdentity {
   readonly organisation: string;
   readonly key: string;
@@ -15,45 +15,45 @@
   /**
    * Claims a key.
    *
-   * @throws SpoolplankError `claims-unavailable`; nothing may be sent then. The claim, should
-   * it have been made all the same, is given back in the background.
+   * @throws SpoolplankError `claims-unavailable`; the request must not be dispatched then. If the
+   * claim was granted nevertheless, it is released in the background.
    */
   acquire(claim: ClaimIdentity, requestDigest: string, retentionMs: number): Promise<ClaimResult>;
-  /** Reports how the request ended; waits a little, then goes on trying in the background. */
+  /** Reports the outcome of the request. Waits briefly, then retries in the background. */
   settle(
     claim: ClaimIdentity,
     outcome: 'done' | 'failed' | 'unknown',
     answer: StoredAnswer | null,
   ): Promise<void>;
-  /** Gives a claim back, before any byte was sent. */
-  giveBack(claim: ClaimIdentity): Promise<void>;
+  /** Releases a claim whose request did not run. Waits briefly, then retries in the background. */
+  release(claim: ClaimIdentity): Promise<void>;
 }
 
-interface Waiting {
+interface PendingSubmission {
   readonly request: ControlRequest;
   readonly resolve: (result: ClaimResult) => void;
   readonly reject: (error: SpoolplankError) => void;
 }
 
-const MAX_BATCH = 256;
-const MAX_IN_FLIGHT = 4;
-const ACQUIRE_WITHIN_MS = 3000;
-const SETTLE_WAIT_MS = 1000;
-const BACKGROUND_RETRY_MS = 500;
-const BACKGROUND_TRIES = 120;
+const MAX_BATCH_SIZE = 256;
+const MAX_BATCHES_IN_FLIGHT = 4;
+const SUBMIT_TIMEOUT_MS = 3000;
+const MAX_SETTLE_WAIT_MS = 1000;
+const RETRY_INTERVAL_MS = 500;
+const MAX_SUBMIT_ATTEMPTS = 120;
 
 export function createClaimsClient(control: ControlClient): ClaimsClient {
-  let waiting: Waiting[] = [];
+  let pending: PendingSubmission[] = [];
   let inFlight = 0;
 
   function flush(): void {
-    if (waiting.length === 0 || inFlight >= MAX_IN_FLIGHT) return;
-    const batch = waiting.slice(0, MAX_BATCH);
-    waiting = waiting.slice(MAX_BATCH);
+    if (pending.length === 0 || inFlight >= MAX_BATCHES_IN_FLIGHT) return;
+    const batch = pending.slice(0, MAX_BATCH_SIZE);
+    pending = pending.slice(MAX_BATCH_SIZE);
     inFlight += 1;
     const requests = batch.map(({ request }) => request);
     control
-      .call<readonly ClaimResult[]>('control.submit', { requests }, { withinMs: ACQUIRE_WITHIN_MS })
+      .call<readonly ClaimResult[]>('control.submit', { requests }, { withinMs: SUBMIT_TIMEOUT_MS })
       .then((results) => {
         batch.forEach(({ resolve, reject }, index) => {
           const result = results[index];
@@ -77,22 +77,22 @@
 
   function submit(request: ControlRequest): Promise<ClaimResult> {
     const result = new Promise<ClaimResult>((resolve, reject) => {
-      waiting.push({ request, resolve, reject });
+      pending.push({ request, resolve, reject });
     });
-    // After this turn, so that requests that arrive together go together.
-    if (waiting.length === 1) setImmediate(flush);
+    // Deferred to the end of the event-loop turn, so that concurrent requests share a batch.
+    if (pending.length === 1) setImmediate(flush);
     return result;
   }
 
-  async function submitUntilDone(requests: readonly ControlRequest[]): Promise<void> {
-    let rest = [...requests];
-    for (let tries = 0; rest.length > 0 && tries < BACKGROUND_TRIES; tries += 1) {
-      const [next] = rest;
+  async function submitInOrder(requests: readonly ControlRequest[]): Promise<void> {
+    let remaining = [...requests];
+    for (let attempts = 0; remaining.length > 0 && attempts < MAX_SUBMIT_ATTEMPTS; attempts += 1) {
+      const [next] = remaining;
       try {
         if (next) await submit(next);
-        rest = rest.slice(1);
+        remaining = remaining.slice(1);
       } catch {
-        await delay(BACKGROUND_RETRY_MS);
+        await delay(RETRY_INTERVAL_MS);
       }
     }
   }
@@ -108,13 +108,13 @@
       try {
         return await submit(request);
       } catch (error) {
-        // Whether it was made is not known: make sure of it, then give it back.
-        void submitUntilDone([request, { kind: 'claim.void', ...claim }]);
+        // It is unknown whether the claim was granted, so it is acquired again and then voided.
+        void submitInOrder([request, { kind: 'claim.void', ...claim }]);
         throw error;
       }
     },
     async settle(claim, outcome, answer) {
-      const done = submitUntilDone([
+      const submission = submitInOrder([
         {
           kind: 'claim.settle',
           ...claim,
@@ -122,11 +122,11 @@
           answer,
         },
       ]);
-      await Promise.race([done, delay(SETTLE_WAIT_MS)]);
+      await Promise.race([submission, delay(MAX_SETTLE_WAIT_MS)]);
     },
-    async giveBack(claim) {
-      const done = submitUntilDone([{ kind: 'claim.void', ...claim }]);
-      await Promise.race([done, delay(SETTLE_WAIT_MS)]);
+    async release(claim) {
+      const submission = submitInOrder([{ kind: 'claim.void', ...claim }]);
+      await Promise.race([submission, delay(MAX_SETTLE_WAIT_MS)]);
     },
   };
 }
--- a/packages/entry/src/sessions/completions.ts
+++ b/packages/entry/src/sessions/completions.ts
@@ -52,7 +52,7 @@
   context: EntryContext,
   replication: SessionReplication,
 ): CompletionRoute {
-  const { mirror, clock, gate, sessions, metrics } = context;
+  const { mirror, clock, admissionControl, sessions, metrics } = context;
   const drivers = new Map<string, AbortController>();
 
   function findModel(
@@ -132,7 +132,7 @@
     const caller = readCallerRequest(request, organisation, model, mirror, clock.nowMs());
     const isChat = request.url?.split('?')[0] === CHAT_PATH;
     const completion = readCompletion(body, model, caller, isChat);
-    await gate.run(caller, async () => {
+    await admissionControl.run(caller, async () => {
       const record = sessions.create(randomUUID(), organisation, completion.request);
       const writer = completion.isStreamed
         ? createStreamWriter(record, response, undefined)
@@ -171,7 +171,7 @@
     const record = await findSession(resume, organisation);
     const { model, layers } = findModel(organisation, record.request.model);
     const caller = readCallerRequest(request, organisation, model, mirror, clock.nowMs());
-    await gate.run(caller, async () => {
+    await admissionControl.run(caller, async () => {
       // Beyond any attempt that an unknown entry VM may still drive.
       record.attempt = await takeOver(record);
       await run(record, layers, caller, createStreamWriter(record, response, resume), response);
--- a/packages/entry/src/sessions/controlClient.ts
+++ b/packages/entry/src/sessions/controlClient.ts
@@ -1,4 +1,4 @@
-/** How every VM reaches the leader of the control group, wherever it is. */
+/** Client with which every VM calls the current leader of the control group. */
 import { vmOfReplica } from '@spoolplank/consensus';
 import { delay } from '@spoolplank/node';
 import type { PeerMethod } from '@spoolplank/node';
@@ -10,25 +10,25 @@
 
 export interface ControlClient {
   /**
-   * Calls a method of the leader. It is tried again until the time is over, so every method
-   * must give a repeated request the same effect as one.
+   * Calls a method of the leader. The call is retried until its total timeout expires, so every
+   * method must be idempotent.
    *
-   * @throws SpoolplankError what the method threw, or the last failure to reach a leader.
+   * @throws SpoolplankError the error of the method, or the last failure to reach a leader.
    */
   call<Result>(method: string, params: unknown, options?: ControlCallOptions): Promise<Result>;
 }
 
 export interface ControlCallOptions {
-  /** Time for all tries together. */
+  /** Total timeout, including retries. */
   readonly withinMs?: number;
-  /** Time for one try. */
+  /** Timeout of one attempt. */
   readonly tryTimeoutMs?: number;
 }
 
 const DEFAULT_WITHIN_MS = 4000;
 const RETRY_DELAY_MS = 50;
-/** Failures after which another VM may still do it. */
-const RETRIED_CODES: ReadonlySet<string> = new Set([
+/** Error codes after which the call is retried, possibly on another VM. */
+const RETRYABLE_CODES: ReadonlySet<string> = new Set([
   'not-leader',
   'unreachable',
   'no-quorum',
@@ -42,13 +42,13 @@
   const { settings, peers, clock, timings } = context;
   const controlVms = listVmsWithRole(settings, 'control');
   let preferredVmId: string | undefined;
-  let nextAt = context.random.nextInt(Math.max(1, controlVms.length));
+  let nextVmIndex = context.random.nextInt(Math.max(1, controlVms.length));
 
   function pickVm(): VmAddress {
     const preferred = controlVms.find(({ vmId }) => vmId === preferredVmId);
     if (preferred) return preferred;
-    nextAt = (nextAt + 1) % controlVms.length;
-    const vm = controlVms[nextAt];
+    nextVmIndex = (nextVmIndex + 1) % controlVms.length;
+    const vm = controlVms[nextVmIndex];
     if (!vm) throw new SpoolplankError('unreachable', { detail: 'No VM has the role control.' });
     return vm;
   }
@@ -65,9 +65,9 @@
     return peers.call(toPeerTarget(vm), method, params, timeoutMs);
   }
 
-  function recordFailure(error: SpoolplankError): void {
-    const hinted = error.leaderId === undefined ? undefined : vmOfReplica(error.leaderId);
-    preferredVmId = hinted === preferredVmId ? undefined : hinted;
+  function followLeaderHint(error: SpoolplankError): void {
+    const hintedVmId = error.leaderId === undefined ? undefined : vmOfReplica(error.leaderId);
+    preferredVmId = hintedVmId === preferredVmId ? undefined : hintedVmId;
   }
 
   return {
@@ -82,8 +82,8 @@
           return result;
         } catch (thrown) {
           const error = toSpoolplankError(thrown);
-          if (!RETRIED_CODES.has(error.code)) throw error;
-          recordFailure(error);
+          if (!RETRYABLE_CODES.has(error.code)) throw error;
+          followLeaderHint(error);
           if (clock.nowMs() + RETRY_DELAY_MS >= untilMs) throw error;
           await delay(RETRY_DELAY_MS);
         }
--- a/packages/entry/src/sessions/directorySync.ts
+++ b/packages/entry/src/sessions/directorySync.ts
@@ -1,4 +1,4 @@
-/** Keeps this VM's table of backend servers and entry VMs by asking registrars. */
+/** Keeps this VM's directory of backend servers and entry VMs in sync with the registrars. */
 import { createDirectory } from '@spoolplank/membership';
 import type { Announcement, Directory, DirectoryDelta } from '@spoolplank/membership';
 import { delay } from '@spoolplank/node';
@@ -7,32 +7,32 @@
 import { listVmsWithRole, toPeerTarget } from '@spoolplank/vm';
 import type { VmContext } from '@spoolplank/vm';
 
-/** Service under which entry VMs stand in the directory; no backend server may take the name. */
+/** Service name of entry VMs in the directory; reserved, so no backend server may use it. */
 export const ENTRY_SERVICE = '@entry';
 
 export interface DirectoryPull {
   readonly instance: string;
   readonly sinceRevision: number;
   readonly waitMs: number;
-  /** What the asking VM says of itself. */
+  /** The announcement of the pulling VM itself. */
   readonly announcement: Announcement;
 }
 
 export interface DirectoryPullReply {
   readonly delta: DirectoryDelta;
   /**
-   * Time between the arrival of the question and this answer, on the registrar's clock. What
-   * the answer says held at the earliest that long after the question was sent.
+   * Time between the arrival of the pull and this reply, on the registrar's clock. The reply
+   * reflects a state no earlier than this long after the pull was sent.
    */
   readonly waitedMs: number;
 }
 
 export interface DirectorySync {
   readonly directory: Directory;
-  /** VMs that a backend server of a data centre announces itself to, the best first. */
+  /** VMs that a backend server of a data centre announces itself to, in order of preference. */
   registrarsFor(name: string, dataCentre: string): readonly VmAddress[];
   serve(pull: DirectoryPull): Promise<DirectoryPullReply>;
-  /** Says that this VM is leaving, at once. */
+  /** Announces immediately that this VM is leaving. */
   leave(): Promise<void>;
   start(): void;
   stop(): void;
@@ -41,26 +41,27 @@
 export interface DirectorySyncOptions {
   readonly context: VmContext;
   readonly readLoad: () => { readonly running: number; readonly queued: number };
-  /** Whether callers may be sent here. */
+  /** Whether this VM accepts callers. */
   readonly isTaking: () => boolean;
 }
 
 const REGISTRARS_PER_DATA_CENTRE = 3;
 /**
- * All of them: a row that one registrar has only from another is nearly two rounds old there,
- * and could lapse on its way to an entry VM.
+ * A backend server announces itself to every registrar of a data centre. A row that a registrar
+ * has only from another registrar is nearly two rounds old and could expire before it reaches an
+ * entry VM.
  */
 const REGISTRARS_PER_BACKEND_SERVER = REGISTRARS_PER_DATA_CENTRE;
 /**
- * Rows of entry VMs live longer by this: each is announced to one registrar and may be three
- * rounds old where it is read. One that leaves says so; one that died misleads callers for
- * not much longer than they keep an answer anyway.
+ * Factor on the TTL of entry VM rows. Each is announced to one registrar and may be three rounds
+ * old where it is read. A VM that leaves announces it, and the row of one that crashed misdirects
+ * callers for little longer than they cache an address answer anyway.
  */
-const VM_TTL_FACTOR = 3;
+const ENTRY_VM_TTL_FACTOR = 3;
 const PULL_WAIT_MS = 800;
-const MIN_PULL_SPACING_MS = 100;
-/** What a pull may take beyond its wait; short, so that another registrar is asked in time. */
-const PULL_TIMEOUT_MS = 700;
+const MIN_PULL_INTERVAL_MS = 100;
+/** Timeout of a pull beyond its wait; short, so that failover to another registrar is timely. */
+const PULL_TIMEOUT_MARGIN_MS = 700;
 const SWEEP_INTERVAL_MS = 5000;
 
 interface PullState {
@@ -75,8 +76,8 @@
 }: DirectorySyncOptions): DirectorySync {
   const { settings, clock, timings, peers, metrics, instance } = context;
   const { vm } = settings;
-  const entries = listVmsWithRole(settings, 'entry');
-  const dataCentres = [...new Set(entries.map(({ dataCentre }) => dataCentre))];
+  const entryVms = listVmsWithRole(settings, 'entry');
+  const dataCentres = [...new Set(entryVms.map(({ dataCentre }) => dataCentre))];
   const pullStates = new Map<string, PullState>();
   let waiters: (() => void)[] = [];
   let sequence = 0;
@@ -89,7 +90,7 @@
     instance,
     ttlMs: timings.announcementTtlMs,
     ttlMsOf: ({ services }) =>
-      timings.announcementTtlMs * (services.includes(ENTRY_SERVICE) ? VM_TTL_FACTOR : 1),
+      timings.announcementTtlMs * (services.includes(ENTRY_SERVICE) ? ENTRY_VM_TTL_FACTOR : 1),
     onChange() {
       const waiting = waiters;
       waiters = [];
@@ -98,8 +99,8 @@
   });
 
   function registrarsOf(dataCentre: string): readonly VmAddress[] {
-    const local = entries.filter((entry) => entry.dataCentre === dataCentre);
-    const candidates = local.length > 0 ? local : entries;
+    const local = entryVms.filter((entry) => entry.dataCentre === dataCentre);
+    const candidates = local.length > 0 ? local : entryVms;
     const ranked = rankByRendezvous(
       `registrar ${dataCentre}`,
       candidates.map(({ vmId }) => vmId),
@@ -109,8 +110,8 @@
       .flatMap((id) => candidates.filter(({ vmId }) => vmId === id));
   }
 
-  /** Registrars to ask: all others of the own data centre for a registrar, else any one of it. */
-  function targetsIn(dataCentre: string): readonly VmAddress[] {
+  /** The registrars of a data centre except this VM, in this VM's order of preference. */
+  function registrarsToPull(dataCentre: string): readonly VmAddress[] {
     const registrars = registrarsOf(dataCentre);
     const others = registrars.filter(({ vmId }) => vmId !== vm.vmId);
     const ranked = rankByRendezvous(
@@ -142,7 +143,7 @@
   async function pullFrom(target: VmAddress, waitMs = PULL_WAIT_MS): Promise<void> {
     const state = pullStates.get(target.vmId) ?? { instance: '', revision: 0 };
     pullStates.set(target.vmId, state);
-    const askedAtMs = clock.nowMs();
+    const pullSentAtMs = clock.nowMs();
     const announcement = describeSelf();
     directory.announce(announcement);
     const pull: DirectoryPull = {
@@ -155,43 +156,43 @@
       toPeerTarget(target),
       'directory.pull',
       pull,
-      waitMs + PULL_TIMEOUT_MS,
+      waitMs + PULL_TIMEOUT_MARGIN_MS,
     );
-    directory.merge(delta, askedAtMs + waitedMs);
+    directory.merge(delta, pullSentAtMs + waitedMs);
     state.instance = delta.instance;
     state.revision = delta.revision;
-    await delay(Math.max(0, MIN_PULL_SPACING_MS - (clock.nowMs() - askedAtMs)));
+    await delay(Math.max(0, MIN_PULL_INTERVAL_MS - (clock.nowMs() - pullSentAtMs)));
   }
 
-  /** Asks one of several VMs, the next one after a failure. */
-  async function followOneOf(targets: readonly VmAddress[]): Promise<void> {
-    let at = 0;
+  /** Pulls from one of several VMs at a time, moving to the next after a failure. */
+  async function pullWithFailover(targets: readonly VmAddress[]): Promise<void> {
+    let targetIndex = 0;
     while (!isStopped) {
-      const target = targets[at % targets.length];
+      const target = targets[targetIndex % targets.length];
       if (!target) return;
       try {
         await pullFrom(target);
       } catch {
         metrics.count('spoolplank_directory_pull_failures_total');
-        at += 1;
-        await delay(MIN_PULL_SPACING_MS);
+        targetIndex += 1;
+        await delay(MIN_PULL_INTERVAL_MS);
       }
     }
   }
 
-  function startFollowing(): void {
+  function startPulls(): void {
     dataCentres.forEach((dataCentre) => {
-      const targets = targetsIn(dataCentre);
+      const targets = registrarsToPull(dataCentre);
       const isOwn = dataCentre === vm.dataCentre && isRegistrar();
       const groups = isOwn ? targets.map((target) => [target]) : [targets];
       groups.forEach((group) => {
-        void followOneOf(group);
+        void pullWithFailover(group);
       });
     });
   }
 
-  async function announceAlone(): Promise<void> {
-    // With no one to ask, nobody else says that this VM is there.
+  async function announceSelf(): Promise<void> {
+    // Pulls carry the announcement of this VM, but with no other registrar there are no pulls.
     while (!isStopped) {
       directory.announce(describeSelf());
       directory.sweep();
@@ -203,22 +204,24 @@
     directory,
     registrarsFor(name, dataCentre) {
       const registrars = registrarsOf(dataCentre);
-      const isUp = ({ vmId }: VmAddress) =>
+      const isReachable = ({ vmId }: VmAddress) =>
         vmId === vm.vmId || directory.findLive(`@${vmId}`) !== undefined;
       const ranked = rankByRendezvous(
         name,
         registrars.map(({ vmId }) => vmId),
       );
       const ordered = ranked.flatMap((id) => registrars.filter(({ vmId }) => vmId === id));
-      const up = ordered.filter(isUp);
-      // A VM that can be reached but is no registrar passes announcements on as well.
-      const spare = entries.filter((entry) => isUp(entry) && !ordered.includes(entry));
-      return [...up, ...spare].slice(0, REGISTRARS_PER_BACKEND_SERVER);
+      const reachable = ordered.filter(isReachable);
+      // A reachable VM that is not a registrar propagates announcements as well.
+      const substitutes = entryVms.filter(
+        (entry) => isReachable(entry) && !ordered.includes(entry),
+      );
+      return [...reachable, ...substitutes].slice(0, REGISTRARS_PER_BACKEND_SERVER);
     },
-    async serve({ instance: asked, sinceRevision, waitMs, announcement }) {
+    async serve({ instance: pullerInstance, sinceRevision, waitMs, announcement }) {
       const arrivedAtMs = clock.nowMs();
       directory.announce(announcement);
-      const isCurrent = asked === instance && directory.bodyRevision <= sinceRevision;
+      const isCurrent = pullerInstance === instance && directory.bodyRevision <= sinceRevision;
       if (isCurrent && waitMs > 0) {
         await new Promise<void>((resolve) => {
           const timer = setTimeout(resolve, Math.min(waitMs, PULL_WAIT_MS));
@@ -229,16 +232,16 @@
         });
       }
       const waitedMs = Math.floor(clock.nowMs() - arrivedAtMs);
-      return { waitedMs, delta: directory.deltaSince(asked, sinceRevision) };
+      return { waitedMs, delta: directory.deltaSince(pullerInstance, sinceRevision) };
     },
     async leave() {
       isLeaving = true;
-      const targets = dataCentres.flatMap(targetsIn);
+      const targets = dataCentres.flatMap(registrarsToPull);
       await Promise.allSettled(targets.map((target) => pullFrom(target, 0)));
     },
     start() {
-      startFollowing();
-      announceAlone().catch(() => {});
+      startPulls();
+      announceSelf().catch(() => {});
     },
     stop() {
       isStopped = true;
--- a/packages/entry/src/sessions/dispatchPlain.ts
+++ b/packages/entry/src/sessions/dispatchPlain.ts
@@ -7,7 +7,7 @@
 import { selectBackendServer } from '@spoolplank/routing';
 import { SpoolplankError, toSpoolplankError } from '@spoolplank/shared';
 import type { Outcome } from '@spoolplank/shared';
-import { listBackendServers, recordSent, recordTurnedAway, retryAfterMs } from './backendServers';
+import { listBackendServers, recordSent, recordRejection, retryAfterMs } from './backendServers';
 import { deadlineOf } from './callerRequest';
 import type { CallerRequest } from './callerRequest';
 import type { EntryContext } from './entryContext';
@@ -59,7 +59,7 @@
       }),
     });
     const { status, headers } = answer;
-    recordTurnedAway(context, target.name, { status, retryAfter: headers['retry-after'] });
+    recordRejection(context, target.name, { status, retryAfter: headers['retry-after'] });
     context.limits.recordAnswer(target, headers[LIMIT_HEADER], sentAtMs);
     if (answer.status === 503 && answer.headers[OUTCOME_HEADER] === 'not-run') {
       throw new SpoolplankError('backend-server-failed', {
--- a/packages/entry/src/sessions/engineStream.ts
+++ b/packages/entry/src/sessions/engineStream.ts
@@ -3,7 +3,7 @@
 import { createAgent, openCall } from '@spoolplank/node';
 import type { Chain, TokenEvent } from '@spoolplank/routing';
 import { SpoolplankError } from '@spoolplank/shared';
-import type { TurnedAway } from './backendServers';
+import type { RejectedAnswer } from './backendServers';
 import { LIMIT_HEADER } from './sessionLimits';
 import type { HeaderValue } from './sessionLimits';
 import type { SessionRecord } from './sessionStore';
@@ -45,7 +45,7 @@
 
 /** Called with what the first engine says of itself with the head of its answer. */
 export interface EngineListeners {
-  readonly onTurnedAway: (answer: TurnedAway) => void;
+  readonly onTurnedAway: (answer: RejectedAnswer) => void;
   /** The header in which it names a limit; undefined where it names none. */
   readonly onLimit: (header: HeaderValue) => void;
 }
--- a/packages/entry/src/sessions/entryRole.ts
+++ b/packages/entry/src/sessions/entryRole.ts
@@ -13,7 +13,7 @@
 import type { DirectoryPull } from './directorySync';
 import type { EntryContext } from './entryContext';
 import { listenForCallers } from './entryServer';
-import { createGate } from './gate';
+import { createAdmissionControl } from './admissionControl';
 import { createOperatorRoutes } from './operatorRoutes';
 import { createSessionLimits } from './sessionLimits';
 import { createSessionReplication } from './sessionReplication';
@@ -55,12 +55,12 @@
   let sweepTimer: NodeJS.Timeout | undefined;
   const control = createControlClient(context, controlMethods);
   const mirror = createSettingsMirror({ context, control });
-  const gate = createGate(mirror, clock);
+  const admissionControl = createAdmissionControl(mirror, clock);
   const isTaking = () => !isShuttingDown && mirror.isFresh();
   const directorySync = createDirectorySync({
     context,
     isTaking,
-    readLoad: () => ({ running: gate.running, queued: gate.waiting }),
+    readLoad: () => ({ running: admissionControl.running, queued: admissionControl.waiting }),
   });
   const sessions = createSessionStore({ clock });
   const entry: EntryContext = {
@@ -68,7 +68,7 @@
     control,
     mirror,
     directorySync,
-    gate,
+    admissionControl,
     sessions,
     isTaking,
     claims: createClaimsClient(control),
@@ -107,7 +107,7 @@
       isShuttingDown,
       settings: { version: mirror.version, remainingMs: mirror.remainingMs() },
       directory: directorySync.directory.listAll() as unknown as JsonValue,
-      admission: gate.counts() as unknown as JsonValue,
+      admission: admissionControl.counts() as unknown as JsonValue,
       retryBudget: entry.retryBudget.saved,
       backoffs: entry.backoffs.list() as unknown as JsonValue,
       limits: entry.limits.describe(),
@@ -138,11 +138,11 @@
     async drain() {
       isShuttingDown = true;
       await directorySync.leave();
-      while (gate.running + gate.waiting > 0) await delay(DRAIN_POLL_MS);
+      while (admissionControl.running + admissionControl.waiting > 0) await delay(DRAIN_POLL_MS);
       await replication.flush();
     },
     async stop() {
-      const cut = gate.running + gate.waiting;
+      const cut = admissionControl.running + admissionControl.waiting;
       isShuttingDown = true;
       mirror.stop();
       directorySync.stop();
--- a/packages/entry/src/sessions/operatorRoutes.ts
+++ b/packages/entry/src/sessions/operatorRoutes.ts
@@ -111,7 +111,7 @@
 
 export function createOperatorRoutes(options: OperatorRoutesOptions): OperatorRoutes {
   const { context, describeControl, recovery } = options;
-  const { control, mirror, directorySync, gate, sessions, settings } = context;
+  const { control, mirror, directorySync, admissionControl, sessions, settings } = context;
 
   async function readObject(request: IncomingMessage): Promise<JsonObject> {
     const body = parseJsonBody(await readBody(request, MAX_CHANGE_BYTES));
@@ -195,7 +195,11 @@
           remainingMs: Math.round(mirror.remainingMs()),
         },
         control: describeControl(),
-        requests: { running: gate.running, waiting: gate.waiting, sessions: sessions.size },
+        requests: {
+          running: admissionControl.running,
+          waiting: admissionControl.waiting,
+          sessions: sessions.size,
+        },
         vms: rows.filter(isVm).map(toRow),
         backendServers: rows.filter((row) => !isVm(row)).map(toRow),
       });
--- a/packages/entry/src/sessions/plainService.ts
+++ b/packages/entry/src/sessions/plainService.ts
@@ -101,7 +101,7 @@
     return answer;
   } catch (thrown) {
     const error = toSpoolplankError(thrown);
-    if (error.outcome === 'not-run') await context.claims.giveBack(claim);
+    if (error.outcome === 'not-run') await context.claims.release(claim);
     else await context.claims.settle(claim, error.outcome === 'ran' ? 'failed' : 'unknown', null);
     throw error;
   }
@@ -146,7 +146,7 @@
     context.mirror,
     context.clock.nowMs(),
   );
-  context.gate.check(caller);
+  context.admissionControl.check(caller);
   const body = await readBody(request, caller.policy.maxBodyBytes);
   const call: PlainCall = {
     caller,
@@ -156,7 +156,7 @@
     body,
   };
   const key = caller.isRepeatable ? undefined : caller.idempotencyKey;
-  const { answer, isReplayed } = await context.gate.run(caller, async () =>
+  const { answer, isReplayed } = await context.admissionControl.run(caller, async () =>
     key === undefined
       ? { answer: await dispatchPlain(context, call), isReplayed: false }
       : runOnce(context, call, key),
--- a/packages/entry/src/sessions/sessionDriver.ts
+++ b/packages/entry/src/sessions/sessionDriver.ts
@@ -3,7 +3,7 @@
 import type { Chain } from '@spoolplank/routing';
 import { SpoolplankError, toSpoolplankError } from '@spoolplank/shared';
 import type { Clock } from '@spoolplank/shared';
-import { recordSent, recordTurnedAway, retryAfterMs } from './backendServers';
+import { recordSent, recordRejection, retryAfterMs } from './backendServers';
 import { createChainFinder } from './chainFinder';
 import type { ChainFinder } from './chainFinder';
 import { openEngineStream } from './engineStream';
@@ -101,7 +101,7 @@
   const sentAtMs = context.clock.steadyMs();
   try {
     stream = await openEngineStream(record, chain, {
-      onTurnedAway: (answer) => recordTurnedAway(context, head, answer),
+      onTurnedAway: (answer) => recordRejection(context, head, answer),
       onLimit: (header) => server && context.limits.recordAnswer(server, header, sentAtMs),
     });
   } catch (thrown) {
--- a/packages/entry/src/sessions/sessionLimits.ts
+++ b/packages/entry/src/sessions/sessionLimits.ts
@@ -1,6 +1,7 @@
 /**
- * Rates that backend servers named, kept by all entry VMs of a deployment: one of them, by
- * rendezvous hash, gives out the permits for a server. See docs/design/named-limits.md.
+ * Enforces the rate limits that backend servers name, across all entry VMs of a deployment. For
+ * each server one entry VM, chosen by rendezvous hashing, owns the limit and issues the permits.
+ * See docs/design/named-limits.md.
  */
 import { parseRate } from '@spoolplank/node';
 import type { PeerMethod } from '@spoolplank/node';
@@ -18,54 +19,54 @@
 import type { PendingReport } from '../limits/serverLimits';
 import type { DirectorySync } from './directorySync';
 
-/** As Node.js gives a header of an answer. */
+/** A response header value as Node.js represents it. */
 export type HeaderValue = string | readonly string[] | undefined;
 
-/** An incarnation of a server. */
-type ServerRun = Pick<Announcement, 'name' | 'incarnation' | 'host' | 'port'>;
+/** One incarnation of a server. */
+type ServerInstance = Pick<Announcement, 'name' | 'incarnation' | 'host' | 'port'>;
 
 interface PermitCall {
   readonly vm: string;
   readonly instanceId: string;
   readonly limits: readonly NamedLimit[];
   readonly reports: readonly LimitReport[];
-  /** Whether a permit is asked for. */
+  /** Whether the call requests a permit, rather than only reporting. */
   readonly isAsk: boolean;
 }
 
 interface PermitReply {
   readonly isPermitted: boolean;
-  /** Null where no limit stands. */
+  /** Limit in requests a second; null where there is none. */
   readonly perS: number | null;
-  /** When it is the turn of a request without a permit, in milliseconds; 0 with one. */
+  /** Retry delay in milliseconds for a request without a permit; 0 with one. */
   readonly retryInMs: number;
 }
 
-/** Whether a request may be sent to a server, or when it is worth coming back. */
+/** Whether a request may be sent to a server, and the retry delay if it may not. */
 export type PermitAnswer =
   { readonly isPermitted: true } | { readonly isPermitted: false; readonly retryInMs: number };
 
 export interface SessionLimits {
-  /** What other entry VMs call here. */
+  /** Peer methods that other entry VMs call on this one. */
   readonly methods: Readonly<Record<string, PeerMethod>>;
-  /** Takes a permit, where the server named a limit. */
-  take(server: ServerRun): Promise<PermitAnswer>;
-  /** Takes in what the answer to a request that was sent at a time on the steady clock says. */
-  recordAnswer(server: ServerRun, header: HeaderValue, sentAtMs: number): void;
+  /** Takes a permit where the server named a limit; always permits where it named none. */
+  take(server: ServerInstance): Promise<PermitAnswer>;
+  /** Processes the limit header of an answer; `sentAtMs` is on the steady clock. */
+  recordAnswer(server: ServerInstance, header: HeaderValue, sentAtMs: number): void;
   sweep(): void;
   describe(): JsonValue;
 }
 
-/** In an answer, the requests a second that a server takes from all VMs together. */
+/** Response header with the requests a second that a server accepts from all VMs together. */
 export const LIMIT_HEADER = 'spoolplank-limit';
 const PERMIT_METHOD = 'limits.permit';
-/** The way there and back, and what a busy VM takes. */
-const ANSWER_MS = 120;
-/** Where nobody knows the turn: an owner that is gone is replaced within about that time. */
-const UNKNOWN_RETURN_MS = 1000;
+/** Covers the round trip and the delay on a busy VM. */
+const PERMIT_TIMEOUT_MS = 120;
+/** Retry delay if the owner does not answer; a failed owner is replaced in about this time. */
+const DEFAULT_RETRY_DELAY_MS = 1000;
 
-/** A limit holds for one incarnation of a server. */
-const instanceOf = ({ name, incarnation }: ServerRun): string => `${name}/${incarnation}`;
+/** A limit applies to one incarnation of a server. */
+const instanceIdOf = ({ name, incarnation }: ServerInstance): string => `${name}/${incarnation}`;
 
 function toDirective(header: HeaderValue): LimitDirective | null {
   if (header === undefined) return { kind: 'unnamed' };
@@ -80,7 +81,7 @@
   const { clock, random, logger: log, metrics, settings, peers } = context;
   const { vmId } = settings.vm;
 
-  function listEntries(): readonly VmAddress[] {
+  function listLiveEntryVms(): readonly VmAddress[] {
     const live = new Set(directory.listLive().map(({ announcement: { name } }) => name));
     return listVmsWithRole(settings, 'entry').filter(
       (vm) => vm.vmId === vmId || live.has(`@${vm.vmId}`),
@@ -88,7 +89,7 @@
   }
 
   function ownerOf(instanceId: string): VmAddress | undefined {
-    const entries = listEntries();
+    const entries = listLiveEntryVms();
     const [first] = rankByRendezvous(
       instanceId,
       entries.map((vm) => vm.vmId),
@@ -96,69 +97,77 @@
     return entries.find((vm) => vm.vmId === first);
   }
 
-  const countEntries = () => listEntries().length;
-  const named = createServerLimits({ clock, random, log, metrics, countEntries });
-  const turns = createRetryTurns({ clock });
+  const countEntryVms = () => listLiveEntryVms().length;
+  const serverLimits = createServerLimits({
+    clock,
+    random,
+    log,
+    metrics,
+    countEntries: countEntryVms,
+  });
+  const retryTurns = createRetryTurns({ clock });
   const isOwner = (instanceId: string) => ownerOf(instanceId)?.vmId === vmId;
-  const account = createLimitAccount({ clock, log, metrics, isOwner, countEntries });
+  const account = createLimitAccount({ clock, log, metrics, isOwner, countEntries: countEntryVms });
 
-  function answer({ vm, instanceId, limits, reports, isAsk }: PermitCall): PermitReply {
+  function handlePermitCall({ vm, instanceId, limits, reports, isAsk }: PermitCall): PermitReply {
     account.learn(vm, reports, limits);
     const isPermitted = !isAsk || (account.hasPermit(instanceId) && account.take(instanceId));
-    const retryInMs = isPermitted ? 0 : turns.nextInMs(instanceId, account.ratePerS(instanceId), 0);
+    const retryInMs = isPermitted
+      ? 0
+      : retryTurns.nextInMs(instanceId, account.ratePerS(instanceId), 0);
     return { isPermitted, perS: account.perSOf(instanceId), retryInMs };
   }
 
-  async function call(
+  async function callOwner(
     instanceId: string,
     details: Pick<PermitCall, 'reports' | 'isAsk'>,
   ): Promise<PermitReply | null> {
     const owner = ownerOf(instanceId);
-    const limits = named.list().filter((limit) => limit.instanceId === instanceId);
+    const limits = serverLimits.list().filter((limit) => limit.instanceId === instanceId);
     const params: PermitCall = { vm: vmId, instanceId, limits, ...details };
     if (!owner) return null;
-    if (owner.vmId === vmId) return answer(params);
+    if (owner.vmId === vmId) return handlePermitCall(params);
     try {
       const target = toPeerTarget(owner);
-      return await peers.call<PermitReply>(target, PERMIT_METHOD, { ...params }, ANSWER_MS);
+      return await peers.call<PermitReply>(target, PERMIT_METHOD, { ...params }, PERMIT_TIMEOUT_MS);
     } catch (error) {
       log.info('limit-owner-silent', { owner: owner.vmId, instanceId, problem: String(error) });
       return null;
     }
   }
 
-  named.onReport((report: PendingReport) => {
+  serverLimits.onReport((report: PendingReport) => {
     const reports = [toLimitReport(report, clock.steadyMs())];
-    void call(report.instanceId, { reports, isAsk: false });
+    void callOwner(report.instanceId, { reports, isAsk: false });
   });
 
   return {
     methods: {
-      [PERMIT_METHOD]: (params) => ({ ...answer(params as unknown as PermitCall) }),
+      [PERMIT_METHOD]: (params) => ({ ...handlePermitCall(params as unknown as PermitCall) }),
     },
     async take(server) {
-      const instanceId = instanceOf(server);
-      const perS = named.perSOf(instanceId);
+      const instanceId = instanceIdOf(server);
+      const perS = serverLimits.perSOf(instanceId);
       if (perS === null) return { isPermitted: true };
-      const askedAtMs = clock.steadyMs();
-      const reply = await call(instanceId, { reports: [], isAsk: true });
-      if (reply && reply.perS === null) named.recordUnlimited(instanceId, askedAtMs);
-      const isPermitted = reply ? reply.isPermitted : named.takeOwnQuota(instanceId);
+      const permitAskedAtMs = clock.steadyMs();
+      const reply = await callOwner(instanceId, { reports: [], isAsk: true });
+      if (reply && reply.perS === null) serverLimits.recordUnlimited(instanceId, permitAskedAtMs);
+      const isPermitted = reply ? reply.isPermitted : serverLimits.takeOwnQuota(instanceId);
       if (isPermitted) return { isPermitted };
       metrics.count('spoolplank_sends_held_back_total', { reason: 'limit' });
-      return { isPermitted, retryInMs: reply?.retryInMs ?? UNKNOWN_RETURN_MS };
+      return { isPermitted, retryInMs: reply?.retryInMs ?? DEFAULT_RETRY_DELAY_MS };
     },
     recordAnswer(server, header, sentAtMs) {
       const directive = toDirective(header);
-      const target = { instanceId: instanceOf(server), address: `${server.host}:${server.port}` };
-      if (directive) named.recordAnswer(target, directive, sentAtMs);
+      const target = { instanceId: instanceIdOf(server), address: `${server.host}:${server.port}` };
+      if (directive) serverLimits.recordAnswer(target, directive, sentAtMs);
     },
     sweep() {
-      named.sweep();
+      serverLimits.sweep();
       account.sweep();
     },
     describe: () => ({
-      named: named.describe(),
+      named: serverLimits.describe(),
       kept: account.list() as unknown as JsonValue,
     }),
   };
--- a/packages/entry/src/sessions/settingsMirror.ts
+++ b/packages/entry/src/sessions/settingsMirror.ts
@@ -1,8 +1,8 @@
 /**
- * The settings in force on one entry VM. They count as confirmed for the length of a lease
- * from when a question was sent that the control group's leader, under its own lease,
- * answered. A change that is accepted is therefore in force on every VM that still takes
- * requests once a lease has passed.
+ * The settings in force on one entry VM. They count as confirmed for the duration of a lease that
+ * the control group's leader, under its own lease, grants in reply to a pull. The lease counts from
+ * when the pull was sent, plus the time for which it was held before the reply. One lease duration
+ * after a change was accepted, it is therefore in force on every VM that still accepts requests.
  */
 import { join } from 'node:path';
 import { delay, readFileIfAny, replaceFile } from '@spoolplank/node';
@@ -18,27 +18,27 @@
 export interface SettingsMirror {
   readonly version: number;
   readonly tree: SettingsTree;
-  /** Time for which the settings still count as confirmed; 0 when they do not. */
+  /** Remaining time of the lease on the settings; 0 when it has expired. */
   remainingMs(): number;
   isFresh(): boolean;
   policyOf(path: BranchPath): Policy;
-  /** The organisation of a bearer token's digest. */
+  /** The organisation that a bearer token belongs to, by the token's digest. */
   findOrganisation(tokenDigest: string): string | undefined;
-  /** Answers another VM from here, with what is left of this VM's own lease. */
+  /** Answers another VM's pull, with the remaining time of this VM's own lease. */
   relay(pull: SettingsPull): Promise<SettingsPullReply>;
   start(): Promise<void>;
   stop(): void;
 }
 
 const FLOOR_FILE = 'settings-floor.json';
-/** Longest wait of one question, so that a lease is renewed well before it runs out. */
+/** Maximum long-poll wait of one pull, so that a lease is renewed well before it expires. */
 const PULL_WAIT_MS = 1000;
 const RETRY_DELAY_MS = 100;
-/** From this many entry VMs on, most ask a relay in their data centre. */
-const RELAY_FROM_ENTRIES = 24;
+/** With at least this many entry VMs, most of them pull from a relay in their data centre. */
+const MIN_ENTRIES_FOR_RELAYS = 24;
 const RELAYS_PER_DATA_CENTRE = 2;
 const MAX_CACHED_POLICIES = 20_000;
-/** Changes kept for VMs that ask this one. */
+/** Recent changes kept to answer VMs that pull from this one. */
 const MAX_RECENT_CHANGES = 200;
 
 export interface SettingsMirrorOptions {
@@ -46,11 +46,14 @@
   readonly control: ControlClient;
 }
 
-/** The VMs to ask first: relays in the same data centre; none when the control VMs are asked. */
+/**
+ * Relays in the same data centre, which this VM pulls from first. Empty when it pulls from the
+ * control VMs directly.
+ */
 export function listRelays(context: Pick<VmContext, 'settings'>): readonly string[] {
   const { vm } = context.settings;
   const entries = listVmsWithRole(context.settings, 'entry');
-  if (entries.length < RELAY_FROM_ENTRIES) return [];
+  if (entries.length < MIN_ENTRIES_FOR_RELAYS) return [];
   const local = entries
     .filter(({ dataCentre }) => dataCentre === vm.dataCentre)
     .map(({ vmId }) => vmId);
@@ -64,23 +67,23 @@
     settings.dataFolder === undefined ? undefined : join(settings.dataFolder, FLOOR_FILE);
   const relays = listRelays(context);
   const policies = new Map<string, Policy>();
-  const downstream = new Map<string, { readonly version: number; readonly atMs: number }>();
+  const downstreamReports = new Map<string, { readonly version: number; readonly atMs: number }>();
   let organisationsByDigest = new Map<string, string>();
   let version = 0;
   let tree: SettingsTree = EMPTY_TREE;
   let recentChanges: readonly AcceptedChange[] = [];
   let freshUntilMs = Number.NEGATIVE_INFINITY;
-  /** No version below this may be in force here again, also after a restart. */
+  /** Lowest version that may be put in force here; persisted, so it holds across restarts. */
   let floorVersion = 0;
   let isStopped = false;
   let waiters: (() => void)[] = [];
 
-  function takeOver(next: SettingsTree, nextVersion: number): void {
-    const hasOtherTokens = next.organisations !== tree.organisations;
+  function installTree(next: SettingsTree, nextVersion: number): void {
+    const hasTokenChanges = next.organisations !== tree.organisations;
     tree = next;
     version = nextVersion;
     policies.clear();
-    if (hasOtherTokens) {
+    if (hasTokenChanges) {
       organisationsByDigest = new Map(
         Object.entries(tree.organisations ?? {}).flatMap(([name, { tokenDigests = [] }]) =>
           tokenDigests.map((digest): [string, string] => [digest, name]),
@@ -95,27 +98,27 @@
   function applyDelta(delta: SettingsDelta): void {
     if (delta.kind === 'tree') {
       recentChanges = [];
-      takeOver(delta.tree, delta.version);
+      installTree(delta.tree, delta.version);
       return;
     }
-    const fresh = delta.changes.filter((change) => change.version > version);
-    const last = fresh.at(-1);
+    const newChanges = delta.changes.filter((change) => change.version > version);
+    const last = newChanges.at(-1);
     if (!last) return;
-    recentChanges = [...recentChanges, ...fresh].slice(-MAX_RECENT_CHANGES);
-    takeOver(
-      fresh.reduce((current, { edits }) => applyEdits(current, edits), tree),
+    recentChanges = [...recentChanges, ...newChanges].slice(-MAX_RECENT_CHANGES);
+    installTree(
+      newChanges.reduce((current, { edits }) => applyEdits(current, edits), tree),
       last.version,
     );
   }
 
-  /** The changes since a version while they are at hand, else the whole tree. */
+  /** The changes since a version if all of them are still kept, else the whole tree. */
   function deltaSince(sinceVersion: number): SettingsDelta {
     const changes = recentChanges.filter((change) => change.version > sinceVersion);
-    const isWhole = sinceVersion <= version && changes.length === version - sinceVersion;
-    return isWhole ? { kind: 'changes', changes } : { kind: 'tree', version, tree };
+    const isComplete = sinceVersion <= version && changes.length === version - sinceVersion;
+    return isComplete ? { kind: 'changes', changes } : { kind: 'tree', version, tree };
   }
 
-  async function raiseFloor(): Promise<void> {
+  async function persistFloor(): Promise<void> {
     if (version <= floorVersion) return;
     floorVersion = version;
     if (floorPath !== undefined) await replaceFile(floorPath, `${JSON.stringify({ version })}\n`);
@@ -123,14 +126,17 @@
 
   function collectReports(): readonly VersionReport[] {
     const oldestMs = clock.nowMs() - timings.settingsLeaseMs;
-    downstream.forEach(({ atMs }, vmId) => {
-      if (atMs < oldestMs) downstream.delete(vmId);
+    downstreamReports.forEach(({ atMs }, vmId) => {
+      if (atMs < oldestMs) downstreamReports.delete(vmId);
     });
-    const others = [...downstream].map(([vmId, report]) => ({ vmId, version: report.version }));
+    const others = [...downstreamReports].map(([vmId, report]) => ({
+      vmId,
+      version: report.version,
+    }));
     return [{ vmId: settings.vm.vmId, version }, ...others];
   }
 
-  async function ask(pull: SettingsPull): Promise<SettingsPullReply> {
+  async function sendPull(pull: SettingsPull): Promise<SettingsPullReply> {
     const tryTimeoutMs = pull.waitMs + timings.peerTimeoutMs;
     for (const relayId of relays) {
       const relay = settings.peers.find(({ vmId }) => vmId === relayId);
@@ -154,13 +160,13 @@
   }
 
   async function pullOnce(): Promise<void> {
-    const askedAtMs = clock.nowMs();
+    const pullSentAtMs = clock.nowMs();
     const pull: SettingsPull = {
       reports: collectReports(),
       sinceVersion: version,
       waitMs: PULL_WAIT_MS,
     };
-    const reply = await ask(pull);
+    const reply = await sendPull(pull);
     if (reply.version < Math.max(version, floorVersion)) {
       metrics.count('spoolplank_settings_older_refused_total');
       throw new SpoolplankError('version-conflict', {
@@ -168,11 +174,11 @@
       });
     }
     applyDelta(reply.delta);
-    await raiseFloor();
-    freshUntilMs = Math.max(freshUntilMs, askedAtMs + reply.waitedMs + reply.leaseMs);
+    await persistFloor();
+    freshUntilMs = Math.max(freshUntilMs, pullSentAtMs + reply.waitedMs + reply.leaseMs);
   }
 
-  async function run(): Promise<void> {
+  async function pullUntilStopped(): Promise<void> {
     let wasFresh = false;
     while (!isStopped) {
       try {
@@ -218,8 +224,8 @@
         path.pipeline,
         path.backendServer,
       ]);
-      const known = policies.get(key);
-      if (known) return known;
+      const cached = policies.get(key);
+      if (cached) return cached;
       const { policy } = resolvePolicy(tree, path);
       if (policies.size >= MAX_CACHED_POLICIES) policies.clear();
       policies.set(key, policy);
@@ -228,7 +234,9 @@
     findOrganisation: (tokenDigest) => organisationsByDigest.get(tokenDigest),
     async relay({ reports, sinceVersion, waitMs }) {
       const atMs = clock.nowMs();
-      reports.forEach((report) => downstream.set(report.vmId, { version: report.version, atMs }));
+      reports.forEach((report) =>
+        downstreamReports.set(report.vmId, { version: report.version, atMs }),
+      );
       await waitForChange(sinceVersion, Math.min(waitMs, timings.settingsLeaseMs / 2));
       const leaseMs = remainingMs();
       const waitedMs = Math.floor(clock.nowMs() - atMs);
@@ -246,7 +254,7 @@
         if (stored)
           floorVersion = (JSON.parse(stored.toString('utf8')) as { version: number }).version;
       }
-      run().catch((error: unknown) =>
+      pullUntilStopped().catch((error: unknown) =>
         logger.error('settings-mirror-ended', { detail: String(error) }),
       );
     },
