--- a/packages/entry/__tests__/decisions.spec.ts
+++ b/packages/entry/__tests__/decisions.spec.ts
@@ -7,8 +7,8 @@
 import { createSessionStore, toSessionUpdate } from '../src/sessions/sessionStore';
 import { createStagePatience } from '../src/sessions/stagePatience';
 
-describe('reach of a version', () => {
-  it('counts a VM as silent only after its lease must have run out', () => {
+describe('reach of a settings version', () => {
+  it('counts a VM as silent only after its lease must have expired', () => {
     const clock = createManualClock();
     const tracker = createReachTracker(clock, 3000, ['vm1', 'vm2', 'vm3']);
     tracker.record([
@@ -36,20 +36,24 @@
   const request = { model: 'm', prompt: 'p', maxTokens: 9, priority: 5, isChat: true };
   const token = (tokenId: number) => ({ tokenId, text: ` ${tokenId}` });
 
-  it('follows the original by updates, and asks for what it missed', () => {
+  it('follows the original by updates, and rejects an update after a gap', () => {
     const clock = createManualClock();
     const source = createSessionStore({ clock }).create('s', 'o', request);
     const copy = createSessionStore({ clock });
     source.attempt = 1;
     source.tokens.push(token(1), token(2));
-    assert.equal(copy.applyUpdate(toSessionUpdate(source, 1, false)), false, 'it has no beginning');
+    assert.equal(
+      copy.applyUpdate(toSessionUpdate(source, 1, false)),
+      false,
+      'the first token is missing',
+    );
     assert.equal(copy.applyUpdate(toSessionUpdate(source, 0, true)), true);
     source.tokens.push(token(3));
     assert.equal(copy.applyUpdate(toSessionUpdate(source, 2, false)), true);
     assert.deepEqual(copy.find('s')?.tokens, source.tokens);
   });
 
-  it('takes nothing from an older attempt, nor from an older update', () => {
+  it('ignores updates of an older attempt, and older updates of the same attempt', () => {
     const clock = createManualClock();
     const source = createSessionStore({ clock }).create('s', 'o', request);
     const copy = createSessionStore({ clock });
@@ -63,9 +67,9 @@
     assert.deepEqual(copy.find('s')?.tokens, source.tokens);
   });
 
-  it('is dropped when memory is short, the least recently used first', () => {
+  it('is evicted when the store is full, the least recently used first', () => {
     const clock = createManualClock();
-    const store = createSessionStore({ clock, maxUnits: 10 });
+    const store = createSessionStore({ clock, maxTotalTokens: 10 });
     ['old', 'new'].forEach((id) => {
       clock.advance(10);
       store.create(id, 'o', { ...request, prompt: 'x'.repeat(32) });
@@ -76,44 +80,48 @@
   });
 });
 
-describe('patience with a chain', () => {
+describe('failure detector of a chain', () => {
   it('learns from the intervals between tokens, but not from the prefill', () => {
     const clock = createManualClock();
-    const patience = createStagePatience({ clock, estimatedStepMs: 20, prefillTokens: 1000 });
-    assert.equal(patience.suspectAtMs(), 1200);
+    const detector = createStagePatience({ clock, estimatedStepMs: 20, prefillTokens: 1000 });
+    assert.equal(detector.suspectAtMs(), 1200);
     clock.advance(900);
-    patience.observe();
-    assert.equal(patience.suspectAtMs(), 1100, 'the prefill did not make it slower');
+    detector.observe();
+    assert.equal(detector.suspectAtMs(), 1100, 'the prefill does not count as an interval');
     for (let tokens = 0; tokens < 100; tokens += 1) {
       clock.advance(200);
-      patience.observe();
+      detector.observe();
     }
-    assert.ok(patience.suspectAtMs() - clock.nowMs() > 900);
-    assert.ok(patience.giveUpAtMs() > patience.suspectAtMs());
+    assert.ok(detector.suspectAtMs() - clock.nowMs() > 900);
+    assert.ok(detector.giveUpAtMs() > detector.suspectAtMs());
   });
 });
 
-describe('a chain that becomes slow', () => {
-  it('is told from one that was slow from the beginning', () => {
+describe('degradation of a chain', () => {
+  it('is reported for a chain that becomes slow, but not for one that was always slow', () => {
     const clock = createManualClock();
-    const patience = createStagePatience({ clock, estimatedStepMs: 20, prefillTokens: 0 });
+    const detector = createStagePatience({ clock, estimatedStepMs: 20, prefillTokens: 0 });
     const takeTokens = (count: number, gapMs: number) => {
       for (let tokens = 0; tokens < count; tokens += 1) {
         clock.advance(gapMs);
-        patience.observe();
+        detector.observe();
       }
     };
     takeTokens(50, 60);
-    assert.equal(patience.degradedGapMs(), undefined, 'slower than estimated, but always so');
+    assert.equal(detector.degradedGapMs(), undefined, 'constantly slower than the estimate');
     takeTokens(2, 200);
-    assert.equal(patience.degradedGapMs(), undefined, 'two late tokens are no trend');
+    assert.equal(
+      detector.degradedGapMs(),
+      undefined,
+      'two late tokens do not count as degradation',
+    );
     takeTokens(20, 300);
-    assert.ok((patience.degradedGapMs() ?? 0) > 200);
+    assert.ok((detector.degradedGapMs() ?? 0) > 200);
   });
 });
 
 describe('headers', () => {
-  it('of one connection, and ours, are not passed on from a caller', () => {
+  it('of the connection, and those that the entry sets itself, are not forwarded from a caller', () => {
     const copied = copyRequestHeaders(
       {
         connection: 'close, x-hop',
@@ -128,7 +136,7 @@
     assert.deepEqual(copied, { 'x-kept': '2', 'spoolplank-organisation': 'real' });
   });
 
-  it('tell the age of a key of the form UUID version 7, and of no other', () => {
+  it('give the timestamp of an idempotency key only if it is a UUID version 7', () => {
     assert.equal(readKeyTimestamp('0193a5c8-1c00-7abc-8def-0123456789ab'), 0x0193a5c81c00);
     assert.equal(readKeyTimestamp('0193a5c8-1c00-4abc-8def-0123456789ab'), undefined);
     assert.equal(readKeyTimestamp('order-17'), undefined);
--- a/packages/entry/src/sessions/answerWriter.ts
+++ b/packages/entry/src/sessions/answerWriter.ts
@@ -1,4 +1,4 @@
-/** Writes answers in the form that clients of model servers expect: streamed, or whole. */
+/** Writes completions in the format of common model servers, streamed or as one JSON body. */
 import type { ServerResponse } from 'node:http';
 import { crc32 } from 'node:zlib';
 import { sendJson } from '@spoolplank/node';
@@ -9,22 +9,25 @@
 
 const KEEP_ALIVE_INTERVAL_MS = 10_000;
 
-/** Writes the answer in the form that clients of model servers expect. */
+/** Writes the completion of one session to the caller. */
 export interface AnswerWriter {
   begin(): void;
-  /** False when the caller can take no more for now. */
+  /** Writes a token; returns false when the connection applies backpressure. */
   token(token: SessionToken, position: number): boolean;
   drained(): Promise<void>;
   end(): void;
   fail(error: SpoolplankError): void;
 }
 
-/** `length` when the answer was cut at what was asked for, `stop` when the model ended it. */
+/** `length` when the answer has the maximum number of tokens, `stop` when the model ended it. */
 function finishReasonOf({ tokens, request }: SessionRecord): 'length' | 'stop' {
   return tokens.length >= request.maxTokens ? 'length' : 'stop';
 }
 
-/** Server-sent events with an id each; what a resuming caller has is checked and left out. */
+/**
+ * Writes server-sent events, each with an id. On resumption, the tokens that the caller already has
+ * are verified by their digest and skipped.
+ */
 export function createStreamWriter(
   record: SessionRecord,
   response: ServerResponse,
@@ -32,7 +35,7 @@
 ): AnswerWriter {
   const object = record.request.isChat ? 'chat.completion.chunk' : 'text_completion';
   const created = Math.floor(Date.now() / 1000);
-  const resumeAt = resume?.position ?? -1;
+  const resumePosition = resume?.position ?? -1;
   let digest = 0;
   let keepAlive: NodeJS.Timeout | undefined;
 
@@ -64,9 +67,9 @@
     begin,
     token({ text }, position) {
       digest = crc32(text, digest);
-      if (position < resumeAt) return true;
-      if (position === resumeAt) {
-        // What was generated again must be what the caller has, or going on would mix two answers.
+      if (position < resumePosition) return true;
+      if (position === resumePosition) {
+        // If the regenerated prefix differs from the caller's, resuming would mix two answers.
         if (formatDigest(digest) === resume?.digest) return true;
         throw new SpoolplankError('answer-invalid', {
           detail: 'The session cannot be continued after this event.',
@@ -99,8 +102,8 @@
   };
 }
 
-/** One JSON body when the answer is whole. */
-export function createWholeWriter(record: SessionRecord, response: ServerResponse): AnswerWriter {
+/** Writes one JSON body when the answer is complete. */
+export function createJsonWriter(record: SessionRecord, response: ServerResponse): AnswerWriter {
   const texts: string[] = [];
   return {
     begin() {},
--- a/packages/entry/src/sessions/chainFinder.ts
+++ b/packages/entry/src/sessions/chainFinder.ts
@@ -1,4 +1,4 @@
-/** Finds chains for a session, without the engines that failed it just now. */
+/** Finds chains for a session, avoiding engines that recently failed it. */
 import type { Announcement } from '@spoolplank/membership';
 import { selectChain } from '@spoolplank/routing';
 import type { Chain } from '@spoolplank/routing';
@@ -8,47 +8,54 @@
 import { findSilentStages } from './stageProbe';
 import type { AttemptFailure } from './tokenRelay';
 
-/** An engine that failed this session. */
-interface Blame {
-  /** The incarnation of the engine that failed; the next one is not to blame. */
+/** Excludes an engine that failed this session from its chains for a while. */
+interface Exclusion {
+  /** The incarnation of the engine that failed; a restarted engine is not excluded. */
   readonly incarnation: number;
-  /** Whether it gave no answer at all, or was only part of a chain that failed. */
+  /** Whether the engine did not answer a probe; otherwise it was only part of a failed chain. */
   readonly isSilent: boolean;
-  /** A blame ends: one that was only too busy to answer must not stay out for hours. */
-  readonly untilMs: number;
+  /** Exclusions expire, since an engine that was merely too busy to answer is still usable. */
+  readonly expiresAtMs: number;
 }
 
 export interface ChainFinder {
-  /** The best chain there is now without some engines; undefined when layers are missing. */
-  find(unpermitted?: ReadonlySet<string>): Chain | undefined;
-  /** Whether a chain of other engines would take less than a share of an interval a token. */
-  hasQuicker(chain: Chain, gapMs: number): boolean;
-  /** Records why an attempt failed; returns the engines that are left out for it. */
-  blame(failure: AttemptFailure, chain: Chain): Promise<readonly string[]>;
+  /** The best available chain without some engines; undefined when layers are missing. */
+  find(withoutPermit?: ReadonlySet<string>): Chain | undefined;
+  /**
+   * Whether the estimated time per token of the best chain of other engines is well below the
+   * present interval between tokens.
+   */
+  hasFasterAlternative(chain: Chain, gapMs: number): boolean;
+  /** Excludes the engines that a failed attempt points to, and returns their names. */
+  excludeFailed(failure: AttemptFailure, chain: Chain): Promise<readonly string[]>;
 }
 
-/** How long an engine that failed a session is left out of its chains. */
-const BLAME_DURATION_MS = 2000;
-/** A move costs a prefill, so another chain must promise this much less time a token. */
-const QUICKER_SHARE = 0.5;
-const NONE: ReadonlySet<string> = new Set();
+/** How long an engine that failed a session is excluded from its chains. */
+const EXCLUSION_DURATION_MS = 2000;
+/**
+ * Maximum ratio of the other chain's estimated time per token to the present interval. A move
+ * costs another prefill, so it has to pay off.
+ */
+const FASTER_STEP_RATIO = 0.5;
+const NO_ENGINES: ReadonlySet<string> = new Set();
 
-/** Creates the finder of one session. */
+/** Creates the chain finder of one session. */
 export function createChainFinder(
   context: EntryContext,
   record: SessionRecord,
   layers: number,
 ): ChainFinder {
   const { clock, loads, settings, directorySync } = context;
-  const blames = new Map<string, Blame>();
+  const exclusions = new Map<string, Exclusion>();
 
   function isExcluded({ name, incarnation }: Announcement, isStrict: boolean): boolean {
-    const blame = blames.get(name);
-    if (blame?.incarnation !== incarnation || blame.untilMs <= clock.nowMs()) return false;
-    return isStrict || blame.isSilent;
+    const exclusion = exclusions.get(name);
+    if (exclusion?.incarnation !== incarnation || exclusion.expiresAtMs <= clock.nowMs())
+      return false;
+    return isStrict || exclusion.isSilent;
   }
 
-  function findExcept(
+  function findExcluding(
     announced: readonly Announcement[],
     excluded: ReadonlySet<string>,
   ): Chain | undefined {
@@ -63,32 +70,37 @@
     return selectChain(announced, request, loads);
   }
 
-  function findWithout(announced: readonly Announcement[], isStrict: boolean): Chain | undefined {
-    const left = announced.filter((announcement) => isExcluded(announcement, isStrict));
-    return findExcept(announced, new Set(left.map(({ name }) => name)));
+  function findAvoidingFailed(
+    announced: readonly Announcement[],
+    isStrict: boolean,
+  ): Chain | undefined {
+    const excludedEngines = announced.filter((announcement) => isExcluded(announcement, isStrict));
+    return findExcluding(announced, new Set(excludedEngines.map(({ name }) => name)));
   }
 
   return {
-    find(unpermitted = NONE) {
-      const announced = listBackendServers(context).filter(({ name }) => !unpermitted.has(name));
-      // Better a chain with a part that is only under suspicion than none.
-      return findWithout(announced, true) ?? findWithout(announced, false);
+    find(withoutPermit = NO_ENGINES) {
+      const announced = listBackendServers(context).filter(({ name }) => !withoutPermit.has(name));
+      // A chain with engines that are merely suspected is better than none.
+      return findAvoidingFailed(announced, true) ?? findAvoidingFailed(announced, false);
     },
-    hasQuicker(chain, gapMs) {
-      const used = new Set(chain.stages.map(({ name }) => name));
-      const other = findExcept(listBackendServers(context), used);
-      return other !== undefined && other.estimatedStepMs < gapMs * QUICKER_SHARE;
+    hasFasterAlternative(chain, gapMs) {
+      const usedNames = new Set(chain.stages.map(({ name }) => name));
+      const other = findExcluding(listBackendServers(context), usedNames);
+      return other !== undefined && other.estimatedStepMs < gapMs * FASTER_STEP_RATIO;
     },
-    async blame(failure, chain) {
+    async excludeFailed(failure, chain) {
       const silent = await findSilentStages(chain.stages);
       const silentNames = silent.map(({ name }) => name);
-      const known = [...new Set([...failure.blamed, ...silentNames])];
-      // When every stage answers, what lies between them must be at fault, so none is kept.
-      const names = known.length > 0 ? known : chain.stages.map(({ name }) => name);
-      const untilMs = clock.nowMs() + BLAME_DURATION_MS;
+      const suspectedNames = [...new Set([...failure.blamed, ...silentNames])];
+      // When every stage answers, the fault may lie in the links between them, so all stages are
+      // excluded.
+      const names =
+        suspectedNames.length > 0 ? suspectedNames : chain.stages.map(({ name }) => name);
+      const expiresAtMs = clock.nowMs() + EXCLUSION_DURATION_MS;
       names.forEach((name) => {
         const incarnation = directorySync.directory.findLive(name)?.announcement.incarnation ?? 0;
-        blames.set(name, { incarnation, isSilent: silentNames.includes(name), untilMs });
+        exclusions.set(name, { incarnation, isSilent: silentNames.includes(name), expiresAtMs });
       });
       return names;
     },
--- a/packages/entry/src/sessions/completions.ts
+++ b/packages/entry/src/sessions/completions.ts
@@ -4,7 +4,7 @@
 import { parseJsonBody, readBody } from '@spoolplank/node';
 import { isJsonObject, SpoolplankError, toSpoolplankError } from '@spoolplank/shared';
 import type { JsonValue } from '@spoolplank/shared';
-import { createStreamWriter, createWholeWriter } from './answerWriter';
+import { createJsonWriter, createStreamWriter } from './answerWriter';
 import type { AnswerWriter } from './answerWriter';
 import { deadlineOf, readCallerRequest } from './callerRequest';
 import type { CallerRequest } from './callerRequest';
@@ -136,7 +136,7 @@
       const record = sessions.create(randomUUID(), organisation, completion.request);
       const writer = completion.isStreamed
         ? createStreamWriter(record, response, undefined)
-        : createWholeWriter(record, response);
+        : createJsonWriter(record, response);
       await run(record, layers, caller, writer, response);
     });
   }
--- a/packages/entry/src/sessions/engineStream.ts
+++ b/packages/entry/src/sessions/engineStream.ts
@@ -1,4 +1,4 @@
-/** One attempt of a session: a stream opened at the first engine of a chain. */
+/** One attempt of a session: a token stream from the first engine of a chain. */
 import type { IncomingMessage } from 'node:http';
 import { createAgent, openCall } from '@spoolplank/node';
 import type { Chain, TokenEvent } from '@spoolplank/routing';
@@ -8,8 +8,8 @@
 import type { HeaderValue } from './sessionLimits';
 import type { SessionRecord } from './sessionStore';
 
-/** What engines are sent; see docs/design/engine-protocol.md. */
-interface StreamOrder {
+/** The request that opens a stream at an engine; see docs/design/engine-protocol.md. */
+interface StreamRequest {
   readonly handle: string;
   readonly session: string;
   readonly attempt: number;
@@ -25,37 +25,37 @@
 
 export type StreamLine =
   | ({ readonly kind: 'token' } & TokenEvent)
-  /** `stop`: the model ended its answer; `length`: as many tokens as were asked for. */
+  /** `stop`: the model ended its answer; `length`: the maximum number of tokens was reached. */
   | { readonly kind: 'end'; readonly reason: 'length' | 'stop' }
   | { readonly kind: 'problem'; readonly problem: string };
 
 export interface StreamListener {
-  /** Takes a line; false when no more should come until `resume`. */
+  /** Handles a line; returns false to pause the stream until `resume`. */
   onLine(line: StreamLine): boolean;
-  /** The stream ended, in whatever way; after this nothing comes. */
+  /** Called once when the stream has ended, for whatever reason; no line follows. */
   onEnd(reason: string): void;
 }
 
 export interface EngineStream {
   listen(listener: StreamListener): void;
   resume(): void;
-  /** Lets go of the stream, so that every stage drops the handle. */
+  /** Closes the stream, so that every stage releases the handle. */
   cancel(): void;
 }
 
-/** Called with what the first engine says of itself with the head of its answer. */
-export interface EngineListeners {
-  readonly onTurnedAway: (answer: RejectedAnswer) => void;
-  /** The header in which it names a limit; undefined where it names none. */
+/** Callbacks for the status and headers of the first engine's answer. */
+export interface EngineCallbacks {
+  readonly onRejected: (answer: RejectedAnswer) => void;
+  /** Called with the limit header; undefined where the engine names no limit. */
   readonly onLimit: (header: HeaderValue) => void;
 }
 
 const STREAM_AGENT = createAgent();
 const OPEN_TIMEOUT_MS = 1000;
 
-/** Hot: runs for every piece of every stream, so it splits lines without a stream in between. */
-function listenForLines(response: IncomingMessage, listener: StreamListener): void {
-  let rest = '';
+/** Hot path, run for every chunk of every stream: splits lines without a transform stream. */
+function readLines(response: IncomingMessage, listener: StreamListener): void {
+  let partialLine = '';
   let hasEnded = false;
   const end = (reason: string) => {
     if (!hasEnded) listener.onEnd(reason);
@@ -63,32 +63,32 @@
   };
   response.setEncoding('utf8');
   response.on('data', (chunk: string) => {
-    const lines = (rest + chunk).split('\n');
-    rest = lines.pop() ?? '';
-    let wantsMore = true;
+    const lines = (partialLine + chunk).split('\n');
+    partialLine = lines.pop() ?? '';
+    let canTakeMore = true;
     lines.forEach((line) => {
-      if (!hasEnded && !listener.onLine(JSON.parse(line) as StreamLine)) wantsMore = false;
+      if (!hasEnded && !listener.onLine(JSON.parse(line) as StreamLine)) canTakeMore = false;
     });
-    if (!wantsMore) response.pause();
+    if (!canTakeMore) response.pause();
   });
   response.on('end', () => end('the stream ended early'));
-  response.on('error', (error) => end(`the stream broke off: ${error.message}`));
-  response.on('close', () => end('the stream broke off'));
+  response.on('error', (error) => end(`the connection failed: ${error.message}`));
+  response.on('close', () => end('the connection was closed'));
 }
 
 /**
- * Opens a stream for the session's next attempt.
+ * Opens the stream of the session's current attempt.
  *
  * @throws SpoolplankError `unreachable` or `backend-server-failed`.
  */
 export async function openEngineStream(
   record: SessionRecord,
   chain: Chain,
-  { onTurnedAway, onLimit }: EngineListeners,
+  { onRejected, onLimit }: EngineCallbacks,
 ): Promise<EngineStream> {
   const [first] = chain.stages;
   if (!first) throw new SpoolplankError('no-backend-server');
-  const order: StreamOrder = {
+  const streamRequest: StreamRequest = {
     handle: `${record.id}.${record.attempt}`,
     session: record.id,
     attempt: record.attempt,
@@ -106,21 +106,21 @@
     method: 'POST',
     path: '/streams',
     agent: STREAM_AGENT,
-    body: JSON.stringify(order),
+    body: JSON.stringify(streamRequest),
     headers: { 'content-type': 'application/json' },
     timeoutMs: OPEN_TIMEOUT_MS,
   });
   onLimit(response.headers[LIMIT_HEADER]);
   if (response.statusCode !== 200) {
     const { statusCode: status = 0, headers } = response;
-    onTurnedAway({ status, retryAfter: headers['retry-after'] });
+    onRejected({ status, retryAfter: headers['retry-after'] });
     response.resume();
     throw new SpoolplankError('backend-server-failed', {
-      detail: `${first.name} answered ${response.statusCode}.`,
+      detail: `${first.name} answered with status ${response.statusCode}.`,
     });
   }
   return {
-    listen: (listener) => listenForLines(response, listener),
+    listen: (listener) => readLines(response, listener),
     resume: () => response.resume(),
     cancel: () => response.destroy(),
   };
--- a/packages/entry/src/sessions/sessionDriver.ts
+++ b/packages/entry/src/sessions/sessionDriver.ts
@@ -1,4 +1,4 @@
-/** Drives a session over chains of engines until its answer is whole. */
+/** Runs a session over chains of engines, with failover, until its answer is complete. */
 import { delay } from '@spoolplank/node';
 import type { Chain } from '@spoolplank/routing';
 import { SpoolplankError, toSpoolplankError } from '@spoolplank/shared';
@@ -20,37 +20,42 @@
   readonly record: SessionRecord;
   readonly layers: number;
   readonly sink: TokenSink;
-  /** Aborted when the caller has gone or the deadline has passed. */
+  /** Aborted when the caller has disconnected or the deadline has passed. */
   readonly signal: AbortSignal;
 }
 
-const NO_CHAIN_WAIT_MS = 8000;
-const NO_CHAIN_POLL_MS = 50;
-const RETRY_AFTER_MS = 2000;
-/** Least time between two moves away from slow chains, so that sessions do not wander. */
-const SLOW_MOVE_INTERVAL_MS = 5000;
+const MAX_CHAIN_WAIT_MS = 8000;
+const CHAIN_POLL_INTERVAL_MS = 50;
+const DEFAULT_RETRY_AFTER_MS = 2000;
+/** Minimum time between two moves away from slow chains, so that a session does not oscillate. */
+const MIN_SLOW_MOVE_INTERVAL_MS = 5000;
 
 interface PermittedChain {
   readonly chain: Chain | undefined;
-  /** Of the first engines that named a limit, the first turn; undefined where none did. */
+  /**
+   * Shortest retry delay of the first engines that refused a permit; undefined where none did.
+   */
   readonly retryInMs: number | undefined;
 }
 
-/** A chain whose first engine may be sent the session now. */
-async function findPermitted(context: EntryContext, finder: ChainFinder): Promise<PermittedChain> {
+/** Finds a chain whose first engine grants a permit for the session. */
+async function findPermittedChain(
+  context: EntryContext,
+  finder: ChainFinder,
+): Promise<PermittedChain> {
   const { limits, directorySync } = context;
-  const unpermitted = new Set<string>();
-  const retriesInMs: number[] = [];
+  const withoutPermit = new Set<string>();
+  const retryDelaysMs: number[] = [];
   for (;;) {
-    const chain = finder.find(unpermitted);
-    const retryInMs = retriesInMs.length > 0 ? Math.min(...retriesInMs) : undefined;
-    const head = chain?.stages[0]?.name ?? '';
-    const server = directorySync.directory.findLive(head)?.announcement;
+    const chain = finder.find(withoutPermit);
+    const retryInMs = retryDelaysMs.length > 0 ? Math.min(...retryDelaysMs) : undefined;
+    const firstEngine = chain?.stages[0]?.name ?? '';
+    const server = directorySync.directory.findLive(firstEngine)?.announcement;
     if (!chain || !server) return { chain, retryInMs };
     const permit = await limits.take(server);
     if (permit.isPermitted) return { chain, retryInMs };
-    unpermitted.add(head);
-    retriesInMs.push(permit.retryInMs);
+    withoutPermit.add(firstEngine);
+    retryDelaysMs.push(permit.retryInMs);
   }
 }
 
@@ -58,31 +63,33 @@
   { context, record, signal }: DriveOptions,
   finder: ChainFinder,
 ): Promise<Chain> {
-  const untilMs = context.clock.nowMs() + NO_CHAIN_WAIT_MS;
+  const waitUntilMs = context.clock.nowMs() + MAX_CHAIN_WAIT_MS;
   for (;;) {
-    const { chain, retryInMs } = await findPermitted(context, finder);
+    const { chain, retryInMs } = await findPermittedChain(context, finder);
     if (chain) return chain;
-    // With nothing sent yet the caller is better off elsewhere than waiting here.
-    const canWait = record.tokens.length > 0 && context.clock.nowMs() < untilMs && !signal.aborted;
+    // Before the first token, the caller can still retry on another VM, so it is rejected at once.
+    const canWait =
+      record.tokens.length > 0 && context.clock.nowMs() < waitUntilMs && !signal.aborted;
     if (!canWait) {
       throw new SpoolplankError('no-backend-server', {
-        retryAfterMs: retryInMs ?? retryAfterMs(context, record.request.model, RETRY_AFTER_MS),
+        retryAfterMs:
+          retryInMs ?? retryAfterMs(context, record.request.model, DEFAULT_RETRY_AFTER_MS),
         outcome: record.attempt === 0 ? 'not-run' : 'unknown',
-        detail: 'No chain of engines holds every layer.',
+        detail: 'No chain of engines covers every layer.',
       });
     }
-    await delay(NO_CHAIN_POLL_MS);
+    await delay(CHAIN_POLL_INTERVAL_MS);
   }
 }
 
-/** Decides when a session leaves a chain that became slow, and not again too soon. */
-function createSlowMoves(finder: ChainFinder, clock: Clock) {
-  let lastMs = Number.NEGATIVE_INFINITY;
+/** Decides when a session leaves a degraded chain, with a minimum interval between moves. */
+function createSlowChainPolicy(finder: ChainFinder, clock: Clock) {
+  let lastMoveMs = Number.NEGATIVE_INFINITY;
   return {
     shouldMove(chain: Chain, gapMs: number): boolean {
-      if (clock.nowMs() - lastMs <= SLOW_MOVE_INTERVAL_MS) return false;
-      if (!finder.hasQuicker(chain, gapMs)) return false;
-      lastMs = clock.nowMs();
+      if (clock.nowMs() - lastMoveMs <= MIN_SLOW_MOVE_INTERVAL_MS) return false;
+      if (!finder.hasFasterAlternative(chain, gapMs)) return false;
+      lastMoveMs = clock.nowMs();
       return true;
     },
   };
@@ -91,17 +98,17 @@
 async function openAndRelay(
   options: DriveOptions,
   chain: Chain,
-  isBetterElsewhere: (gapMs: number) => boolean,
+  hasFasterChain: (gapMs: number) => boolean,
 ): Promise<AttemptFailure | null> {
   const { context, record, replication, layers, sink, signal } = options;
   let stream: EngineStream;
-  const head = chain.stages[0]?.name ?? '';
-  const server = context.directorySync.directory.findLive(head)?.announcement;
-  recordSent(context, head);
+  const firstEngine = chain.stages[0]?.name ?? '';
+  const server = context.directorySync.directory.findLive(firstEngine)?.announcement;
+  recordSent(context, firstEngine);
   const sentAtMs = context.clock.steadyMs();
   try {
     stream = await openEngineStream(record, chain, {
-      onTurnedAway: (answer) => recordRejection(context, head, answer),
+      onRejected: (answer) => recordRejection(context, firstEngine, answer),
       onLimit: (header) => server && context.limits.recordAnswer(server, header, sentAtMs),
     });
   } catch (thrown) {
@@ -119,7 +126,7 @@
       sink,
       signal,
       onProgress,
-      isBetterElsewhere,
+      hasFasterChain,
     });
   } finally {
     stream.cancel();
@@ -129,14 +136,14 @@
 async function runAttempt(
   options: DriveOptions,
   chain: Chain,
-  isBetterElsewhere: (gapMs: number) => boolean,
+  hasFasterChain: (gapMs: number) => boolean,
 ): Promise<AttemptFailure | null> {
   const { loads, clock } = options.context;
   const startedMs = clock.nowMs();
   chain.stages.forEach(({ name }) => loads.start(name));
   let failure: AttemptFailure | null = null;
   try {
-    failure = await openAndRelay(options, chain, isBetterElsewhere);
+    failure = await openAndRelay(options, chain, hasFasterChain);
     return failure;
   } finally {
     const nowMs = clock.nowMs();
@@ -148,26 +155,26 @@
 }
 
 /**
- * Drives a session until every token was passed on, or `signal` is aborted.
+ * Runs a session until every token was relayed, or `signal` is aborted.
  *
- * @throws SpoolplankError `no-backend-server` when no chain could be found in time, or what
- * the sink threw.
+ * @throws SpoolplankError `no-backend-server` when no chain could be found in time, or the error
+ * that the sink threw.
  */
 export async function driveSession(options: DriveOptions): Promise<void> {
   const { context, record, layers, replication, signal } = options;
   const { metrics, logger, clock } = context;
   const finder = createChainFinder(context, record, layers);
-  const slowMoves = createSlowMoves(finder, clock);
+  const slowChainPolicy = createSlowChainPolicy(finder, clock);
   while (!signal.aborted && !record.isDone && record.tokens.length < record.request.maxTokens) {
     const chain = await waitForChain(options, finder);
     record.attempt += 1;
     record.version = chain.version;
     replication.record(record);
-    const isBetterElsewhere = (gapMs: number) => slowMoves.shouldMove(chain, gapMs);
-    const failure = await runAttempt(options, chain, isBetterElsewhere);
+    const hasFasterChain = (gapMs: number) => slowChainPolicy.shouldMove(chain, gapMs);
+    const failure = await runAttempt(options, chain, hasFasterChain);
     if (!failure) break;
     const failedAtMs = clock.nowMs();
-    const blamed = await finder.blame(failure, chain);
+    const blamed = await finder.excludeFailed(failure, chain);
     metrics.count('spoolplank_session_moves_total');
     metrics.observe('spoolplank_session_blame_ms', clock.nowMs() - failedAtMs);
     logger.warn('session-moved', {
--- a/packages/entry/src/sessions/sessionReplication.ts
+++ b/packages/entry/src/sessions/sessionReplication.ts
@@ -1,4 +1,4 @@
-/** Copies sessions to other entry VMs, in batches, and fetches them from there. */
+/** Replicates sessions to other entry VMs in batches, and fetches them from there. */
 import { rankByRendezvous } from '@spoolplank/shared';
 import type { VmAddress } from '@spoolplank/settings';
 import { listVmsWithRole, toPeerTarget } from '@spoolplank/vm';
@@ -7,29 +7,29 @@
 import type { SessionRecord, SessionStore, SessionUpdate } from './sessionStore';
 
 export interface SessionReplication {
-  /** Records that a record changed; copies follow shortly. */
+  /** Marks a record as changed; its copies are updated with the next batch. */
   record(record: SessionRecord): void;
-  /** Copies what was recorded, now. */
+  /** Sends all pending changes immediately. */
   flush(): Promise<void>;
-  /** Looks for a session here and on the VMs that hold its copies. */
+  /** Looks a session up locally and on the VMs that hold its copies. */
   fetch(id: string): Promise<SessionRecord | undefined>;
   start(): void;
   stop(): void;
 }
 
-const COPIES = 2;
+const COPIES_PER_SESSION = 2;
 const FLUSH_INTERVAL_MS = 150;
 const SWEEP_INTERVAL_MS = 10_000;
-const FETCH_FROM = 4;
+const MAX_FETCH_HOLDERS = 4;
 const FETCH_TIMEOUT_MS = 600;
 
 interface CopyState {
   readonly record: SessionRecord;
-  /** Tokens that each holder is known to have; absent before it has the request. */
+  /** Number of tokens that each holder is known to have; absent until it has the request. */
   readonly sent: Map<string, number>;
 }
 
-/** The VMs that hold copies of a session, the first ones first. */
+/** The entry VMs in the order in which they are chosen to hold copies of a session. */
 export function rankHolders(
   context: Pick<VmContext, 'settings'>,
   id: string,
@@ -47,7 +47,7 @@
   store: SessionStore,
 ): SessionReplication {
   const { settings, peers, metrics } = context;
-  const states = new Map<string, CopyState>();
+  const copyStates = new Map<string, CopyState>();
   const dirty = new Set<string>();
   let flushTimer: NodeJS.Timeout | undefined;
   let sweepTimer: NodeJS.Timeout | undefined;
@@ -55,13 +55,13 @@
   function holdersOf(id: string): readonly VmAddress[] {
     return rankHolders(context, id)
       .filter(({ vmId }) => vmId !== settings.vm.vmId)
-      .slice(0, COPIES);
+      .slice(0, COPIES_PER_SESSION);
   }
 
   function collectByHolder(): ReadonlyMap<VmAddress, readonly CopyState[]> {
     const byHolder = new Map<VmAddress, CopyState[]>();
     dirty.forEach((id) => {
-      const state = states.get(id);
+      const state = copyStates.get(id);
       if (!state) return;
       holdersOf(id).forEach((holder) =>
         byHolder.set(holder, [...(byHolder.get(holder) ?? []), state]),
@@ -83,7 +83,7 @@
         { updates },
       );
       updates.forEach(({ id, fromPosition, tokens }) => {
-        const sent = states.get(id)?.sent;
+        const sent = copyStates.get(id)?.sent;
         if (missing.includes(id)) sent?.delete(holder.vmId);
         else sent?.set(holder.vmId, fromPosition + tokens.length);
       });
@@ -96,22 +96,22 @@
   async function flush(): Promise<void> {
     const byHolder = collectByHolder();
     await Promise.all([...byHolder].map(([holder, changed]) => sendTo(holder, changed)));
-    states.forEach(({ record }, id) => {
-      if (record.isDone && !dirty.has(id)) states.delete(id);
+    copyStates.forEach(({ record }, id) => {
+      if (record.isDone && !dirty.has(id)) copyStates.delete(id);
     });
   }
 
-  function loop(): void {
+  function flushPeriodically(): void {
     flush()
       .catch(() => {})
       .finally(() => {
-        if (flushTimer) flushTimer = setTimeout(loop, FLUSH_INTERVAL_MS);
+        if (flushTimer) flushTimer = setTimeout(flushPeriodically, FLUSH_INTERVAL_MS);
       });
   }
 
   return {
     record(record) {
-      if (!states.has(record.id)) states.set(record.id, { record, sent: new Map() });
+      if (!copyStates.has(record.id)) copyStates.set(record.id, { record, sent: new Map() });
       dirty.add(record.id);
     },
     flush,
@@ -119,7 +119,7 @@
       const local = store.find(id);
       const others = rankHolders(context, id)
         .filter(({ vmId }) => vmId !== settings.vm.vmId)
-        .slice(0, FETCH_FROM);
+        .slice(0, MAX_FETCH_HOLDERS);
       const updates = await Promise.all(
         others.map((holder) =>
           peers
@@ -132,18 +132,20 @@
             .catch(() => null),
         ),
       );
-      // The longest copy of the newest attempt is the one to go on from.
+      // The session resumes from the most advanced copy, by attempt or by length.
       updates.forEach((update) => {
-        const have = store.find(id);
-        const isBetter =
+        const existing = store.find(id);
+        const isMoreAdvanced =
           update &&
-          (!have || update.attempt > have.attempt || update.tokens.length > have.tokens.length);
-        if (isBetter) store.applyUpdate(update);
+          (!existing ||
+            update.attempt > existing.attempt ||
+            update.tokens.length > existing.tokens.length);
+        if (isMoreAdvanced) store.applyUpdate(update);
       });
       return store.find(id) ?? local;
     },
     start() {
-      flushTimer = setTimeout(loop, FLUSH_INTERVAL_MS);
+      flushTimer = setTimeout(flushPeriodically, FLUSH_INTERVAL_MS);
       sweepTimer = setInterval(() => store.sweep(), SWEEP_INTERVAL_MS);
     },
     stop() {
--- a/packages/entry/src/sessions/sessionStore.ts
+++ b/packages/entry/src/sessions/sessionStore.ts
@@ -1,10 +1,10 @@
 /**
- * Sessions with a language model: the request, and what was answered so far. Copies go to two
- * other entry VMs, so that a caller whose VM is gone can go on at any other.
+ * Sessions with a language model: the request and the tokens generated so far. Each is copied to
+ * two other entry VMs, so that a caller whose VM has failed can resume on any other.
  */
 import type { Clock } from '@spoolplank/shared';
 
-/** What a caller asked for. */
+/** The caller's request. */
 export interface SessionRequest {
   readonly model: string;
   readonly prompt: string;
@@ -18,26 +18,26 @@
   readonly text: string;
 }
 
-/** One session; the record that is copied to other VMs. */
+/** State of one session, which is copied to other VMs. */
 export interface SessionRecord {
   readonly id: string;
   readonly organisation: string;
   readonly request: SessionRequest;
-  /** Version of the model that began the answer; later stages keep to it. */
+  /** Model version that generated the tokens so far; later attempts use the same version. */
   version: string | undefined;
   readonly tokens: SessionToken[];
-  /** Number of the last attempt; never used twice for one session. */
+  /** Number of the last attempt; unique within a session. */
   attempt: number;
   isDone: boolean;
-  /** When the record was last used, on the holder's clock. */
+  /** When the record was last used, on the clock of the VM that holds it. */
   usedAtMs: number;
 }
 
-/** What a copy lacks to be up to date. */
+/** The difference that brings a copy up to date. */
 export interface SessionUpdate {
   readonly id: string;
   readonly organisation: string;
-  /** Absent when the receiver has it already. */
+  /** Absent when the receiver already has the request. */
   readonly request?: SessionRequest;
   readonly version: string | undefined;
   readonly fromPosition: number;
@@ -49,23 +49,26 @@
 export interface SessionStoreOptions {
   readonly clock: Clock;
   readonly retentionMs?: number;
-  /** Tokens and prompt characters kept in all; the least recently used records go first. */
-  readonly maxUnits?: number;
+  /**
+   * Maximum number of tokens of all records together, with the prompts estimated by their length;
+   * the least recently used records are evicted first.
+   */
+  readonly maxTotalTokens?: number;
 }
 
 export interface SessionStore {
   readonly size: number;
   create(id: string, organisation: string, request: SessionRequest): SessionRecord;
   find(id: string): SessionRecord | undefined;
-  /** Takes in an update of a copy; false when something before it is missing. */
+  /** Applies an update to a copy; returns false when an earlier part is missing. */
   applyUpdate(update: SessionUpdate): boolean;
   sweep(): void;
 }
 
 const DEFAULT_RETENTION_MS = 600_000;
-const DEFAULT_MAX_UNITS = 4_000_000;
+const DEFAULT_MAX_TOTAL_TOKENS = 4_000_000;
 
-/** Makes the update that brings a copy from `fromPosition` to the record's present state. */
+/** Creates the update that brings a copy from `fromPosition` to the record's current state. */
 export function toSessionUpdate(
   record: SessionRecord,
   fromPosition: number,
@@ -84,12 +87,16 @@
   };
 }
 
-function unitsOf({ tokens, request }: SessionRecord): number {
+function estimateTokens({ tokens, request }: SessionRecord): number {
   return tokens.length + request.prompt.length / 4;
 }
 
 export function createSessionStore(options: SessionStoreOptions): SessionStore {
-  const { clock, retentionMs = DEFAULT_RETENTION_MS, maxUnits = DEFAULT_MAX_UNITS } = options;
+  const {
+    clock,
+    retentionMs = DEFAULT_RETENTION_MS,
+    maxTotalTokens = DEFAULT_MAX_TOTAL_TOKENS,
+  } = options;
   const records = new Map<string, SessionRecord>();
 
   function put(record: SessionRecord): SessionRecord {
@@ -125,12 +132,12 @@
       const record =
         records.get(id) ?? (request ? createRecord(id, organisation, request) : undefined);
       if (!record || fromPosition > record.tokens.length) return false;
-      // An older attempt that is still on its way has nothing to add.
+      // A delayed update of an older attempt is ignored.
       if (update.attempt < record.attempt) return true;
-      // Nor has an older update of the same attempt.
-      const isLate =
+      // So is an older update of the same attempt.
+      const isOutdated =
         update.attempt === record.attempt && fromPosition + tokens.length < record.tokens.length;
-      if (isLate) return true;
+      if (isOutdated) return true;
       record.tokens.length = fromPosition;
       record.tokens.push(...tokens);
       Object.assign(record, {
@@ -144,11 +151,11 @@
     sweep() {
       const oldestMs = clock.nowMs() - retentionMs;
       const byUse = [...records.values()].sort((a, b) => a.usedAtMs - b.usedAtMs);
-      let units = byUse.reduce((sum, record) => sum + unitsOf(record), 0);
+      let totalTokens = byUse.reduce((sum, record) => sum + estimateTokens(record), 0);
       byUse.forEach((record) => {
-        if (record.usedAtMs >= oldestMs && units <= maxUnits) return;
+        if (record.usedAtMs >= oldestMs && totalTokens <= maxTotalTokens) return;
         records.delete(record.id);
-        units -= unitsOf(record);
+        totalTokens -= estimateTokens(record);
       });
     },
   };
--- a/packages/entry/src/sessions/stagePatience.ts
+++ b/packages/entry/src/sessions/stagePatience.ts
@@ -1,31 +1,32 @@
 /**
- * How long to wait for the next token before the chain is suspected, and for how long a chain
- * whose stages all answer is only taken to be busy.
+ * Failure detector for a chain, based on the intervals between its tokens. It determines how long
+ * to wait for the next token before the stages are probed, and how long a chain whose stages all
+ * answer is considered busy rather than failed.
  *
- * Source of the distinction between busy and suspected, with a wait learnt from past
- * intervals: Farruggia, Ortolani, Lo Re, "FDAE: a failure detector for asynchronous events",
- * 2010; see docs/design/failure-detection.md for what was kept of it and why.
+ * The distinction between busy and suspected, with a wait learnt from past intervals, follows
+ * Farruggia, Ortolani, Lo Re, "FDAE: a failure detector for asynchronous events", 2010; see
+ * docs/design/failure-detection.md for which parts are used and why.
  */
 import type { Clock } from '@spoolplank/shared';
 
 export interface StagePatience {
-  /** Records that a token came. */
+  /** Records the arrival of a token. */
   observe(): void;
-  /** Begins the wait anew, without learning from it: the caller had held the stream up. */
+  /** Restarts the wait without learning from the interval, after backpressure by the caller. */
   restart(): void;
-  /** The interval between tokens when it has grown far beyond what it was; else undefined. */
+  /** The average interval between tokens if it is far above its best so far; else undefined. */
   degradedGapMs(): number | undefined;
-  /** When the stages are to be probed, if no token has come. */
+  /** When to probe the stages if no token has arrived. */
   suspectAtMs(): number;
-  /** When the chain is given up even though all its stages answer. */
+  /** When to give up the chain even though all its stages answer. */
   giveUpAtMs(): number;
 }
 
 export interface StagePatienceOptions {
   readonly clock: Clock;
-  /** Estimated time of one token. */
+  /** Estimated time per token. */
   readonly estimatedStepMs: number;
-  /** Positions to work through before the first token. */
+  /** Number of positions to prefill before the first token. */
   readonly prefillTokens: number;
 }
 
@@ -34,12 +35,12 @@
 const BUSY_FACTOR = 20;
 const MIN_GIVE_UP_MS = 2000;
 const GAP_WEIGHT = 0.2;
-/** Growth of the interval that counts as a degraded chain, and the least growth in all. */
+/** Growth of the interval by which a chain counts as degraded: a factor, and at least a time. */
 const DEGRADED_FACTOR = 3;
 const DEGRADED_MIN_MS = 15;
-/** Tokens before the interval of a chain is known. */
+/** Number of tokens after which the average interval of a chain counts as learnt. */
 const LEARNING_TOKENS = 8;
-/** Time allowed for each position before the first token. */
+/** Prefill time allowed per position before the first token. */
 const PREFILL_MS_PER_TOKEN = 1;
 
 export function createStagePatience({
@@ -55,7 +56,7 @@
   return {
     observe() {
       const nowMs = clock.nowMs();
-      // The first interval holds the prefill and says nothing about a step.
+      // The first interval includes the prefill, so it is no measure of the time per token.
       if (allowanceMs === 0) gapMs += GAP_WEIGHT * (nowMs - lastMs - gapMs);
       tokens += 1;
       if (tokens >= LEARNING_TOKENS) bestGapMs = Math.min(bestGapMs, gapMs);
--- a/packages/entry/src/sessions/stageProbe.ts
+++ b/packages/entry/src/sessions/stageProbe.ts
@@ -1,4 +1,4 @@
-/** Asks the stages of a chain whether they are there. */
+/** Probes whether the stages of a chain respond. */
 import { callHttp } from '@spoolplank/node';
 import type { ChainStage } from '@spoolplank/routing';
 
@@ -19,7 +19,7 @@
   }
 }
 
-/** The stages that give no answer. */
+/** Returns the stages that do not answer a probe in time. */
 export async function findSilentStages(
   stages: readonly ChainStage[],
 ): Promise<readonly ChainStage[]> {
--- a/packages/entry/src/sessions/tokenRelay.ts
+++ b/packages/entry/src/sessions/tokenRelay.ts
@@ -1,4 +1,4 @@
-/** Passes the tokens of one attempt on, checked, and watches that they keep coming. */
+/** Validates and relays the tokens of one attempt, and detects when the chain stalls. */
 import { findLineageProblem } from '@spoolplank/routing';
 import type { Chain } from '@spoolplank/routing';
 import type { EngineStream, StreamLine } from './engineStream';
@@ -7,15 +7,15 @@
 import { createStagePatience } from './stagePatience';
 import { findSilentStages } from './stageProbe';
 
-/** Where tokens go. */
+/** Receives the relayed tokens. */
 export interface TokenSink {
-  /** Takes a token that passed every check; false when it can take no more for now. */
+  /** Takes a validated token; returns false to apply backpressure. */
   onToken(token: SessionToken, position: number): boolean;
-  /** Resolves when it can take more. */
+  /** Resolves when the sink can take more tokens. */
   drained(): Promise<void>;
 }
 
-/** Why an attempt ended before the answer was whole. */
+/** Why an attempt ended before the answer was complete. */
 export interface AttemptFailure {
   readonly reason: string;
   /** Engines known to be at fault. */
@@ -32,48 +32,51 @@
   readonly signal: AbortSignal;
   /** Called after the record has grown. */
   readonly onProgress: () => void;
-  /** Whether another chain promises to be much quicker than tokens at this interval. */
-  readonly isBetterElsewhere: (gapMs: number) => boolean;
+  /** Whether another chain is estimated to be much faster than this interval between tokens. */
+  readonly hasFasterChain: (gapMs: number) => boolean;
 }
 
 type TokenLine = Extract<StreamLine, { readonly kind: 'token' }>;
 
-const WATCH_INTERVAL_MS = 25;
-/** Prompt characters that make about one token. */
+const CHECK_INTERVAL_MS = 25;
+/** Approximate number of prompt characters per token. */
 const CHARACTERS_PER_TOKEN = 4;
 
-/** Relays until the answer is whole or the caller has gone (null), or the attempt fails. */
+/**
+ * Relays tokens until the answer is complete or the caller has disconnected (null), or the attempt
+ * fails.
+ */
 export function relayTokens(options: TokenRelayOptions): Promise<AttemptFailure | null> {
   const { context, record, layers, chain, stream, sink, signal, onProgress } = options;
-  const { isBetterElsewhere } = options;
+  const { hasFasterChain } = options;
   const { clock, metrics } = context;
   const prefillTokens = record.request.prompt.length / CHARACTERS_PER_TOKEN + record.tokens.length;
   const { estimatedStepMs } = chain;
-  const patience = createStagePatience({ clock, estimatedStepMs, prefillTokens });
+  const stallDetector = createStagePatience({ clock, estimatedStepMs, prefillTokens });
   const stageNames = chain.stages.map(({ name }) => name);
 
   return new Promise((resolve, reject) => {
-    let isOver = false;
+    let isSettled = false;
     let isProbing = false;
     let hasProbed = false;
-    let isHeldByCaller = false;
+    let isPausedForCaller = false;
     let timer: NodeJS.Timeout | undefined;
 
     function finish(result: AttemptFailure | null): void {
-      if (isOver) return;
-      isOver = true;
+      if (isSettled) return;
+      isSettled = true;
       clearInterval(timer);
       resolve(result);
     }
 
-    function passOn(line: TokenLine): boolean {
+    function relayToken(line: TokenLine): boolean {
       const problem = findLineageProblem(line, record.tokens.length, chain.stages, layers);
       if (problem) {
         metrics.count('spoolplank_lineage_problems_total', { problem });
-        finish({ reason: `a token broke a rule: ${problem}`, blamed: stageNames });
+        finish({ reason: `invalid token: ${problem}`, blamed: stageNames });
         return false;
       }
-      patience.observe();
+      stallDetector.observe();
       hasProbed = false;
       const token = { tokenId: line.tokenId, text: line.text };
       record.tokens.push(token);
@@ -81,24 +84,25 @@
       return sink.onToken(token, line.position);
     }
 
-    function holdForCaller(): void {
-      isHeldByCaller = true;
+    function pauseForCaller(): void {
+      isPausedForCaller = true;
       sink
         .drained()
         .then(() => {
-          isHeldByCaller = false;
-          patience.restart();
+          isPausedForCaller = false;
+          stallDetector.restart();
           stream.resume();
         })
         .catch(reject);
     }
 
-    function takeLine(line: StreamLine): boolean {
-      if (isOver) return false;
+    function handleLine(line: StreamLine): boolean {
+      if (isSettled) return false;
       if (line.kind === 'end') {
-        const isWhole = line.reason === 'stop' || record.tokens.length >= record.request.maxTokens;
-        // Who leaves an answer unfinished is at fault; which stage it was is unknown.
-        finish(isWhole ? null : { reason: 'the answer ended early', blamed: [] });
+        const isComplete =
+          line.reason === 'stop' || record.tokens.length >= record.request.maxTokens;
+        // An early end is a fault of the chain, but it does not show which stage caused it.
+        finish(isComplete ? null : { reason: 'the answer ended early', blamed: [] });
         return true;
       }
       if (line.kind === 'problem') {
@@ -106,12 +110,12 @@
         finish({ reason: line.problem, blamed });
         return true;
       }
-      const hasRoom = passOn(line);
-      if (!hasRoom && !isOver && !isHeldByCaller) holdForCaller();
-      return hasRoom;
+      const canTakeMore = relayToken(line);
+      if (!canTakeMore && !isSettled && !isPausedForCaller) pauseForCaller();
+      return canTakeMore;
     }
 
-    /** A chain that is late is asked; one that answers is busy, and gets more time. */
+    /** Probes a chain that is late. If all its stages answer, it is busy and gets more time. */
     async function probe(): Promise<void> {
       isProbing = true;
       const position = record.tokens.length;
@@ -120,34 +124,35 @@
       hasProbed = true;
       if (record.tokens.length > position) return;
       if (silent.length > 0) {
-        finish({ reason: 'a stage is silent', blamed: silent.map(({ name }) => name) });
+        finish({ reason: 'a stage does not answer', blamed: silent.map(({ name }) => name) });
       } else metrics.count('spoolplank_busy_chains_total');
     }
 
-    function watch(): void {
+    function checkProgress(): void {
       if (signal.aborted) {
         finish(null);
         return;
       }
-      const degradedGapMs = patience.degradedGapMs();
-      if (degradedGapMs !== undefined && !isHeldByCaller && isBetterElsewhere(degradedGapMs)) {
-        finish({ reason: 'the chain has become slow', blamed: [] });
+      const degradedGapMs = stallDetector.degradedGapMs();
+      if (degradedGapMs !== undefined && !isPausedForCaller && hasFasterChain(degradedGapMs)) {
+        finish({ reason: 'the chain has degraded', blamed: [] });
         return;
       }
       const nowMs = clock.nowMs();
-      if (isHeldByCaller || isProbing || nowMs < patience.suspectAtMs()) return;
+      if (isPausedForCaller || isProbing || nowMs < stallDetector.suspectAtMs()) return;
       if (!hasProbed) probe().catch(reject);
-      else if (nowMs >= patience.giveUpAtMs()) finish({ reason: 'no token in time', blamed: [] });
+      else if (nowMs >= stallDetector.giveUpAtMs())
+        finish({ reason: 'timed out waiting for a token', blamed: [] });
     }
 
-    timer = setInterval(watch, WATCH_INTERVAL_MS);
+    timer = setInterval(checkProgress, CHECK_INTERVAL_MS);
     signal.addEventListener('abort', () => finish(null), { once: true });
     stream.listen({
       onLine(line) {
         try {
-          return takeLine(line);
+          return handleLine(line);
         } catch (error) {
-          isOver = true;
+          isSettled = true;
           clearInterval(timer);
           reject(error);
           return false;
