--- a/packages/entry/src/sessions/addresses.ts
+++ b/packages/entry/src/sessions/addresses.ts
@@ -1,4 +1,4 @@
-/** `GET /v1/addresses`: which entry VMs a caller or backend server should use, and for how long. */
+/** `GET /v1/addresses`: the entry VMs that a caller or backend server should use, with a TTL. */
 import type { Announcement } from '@spoolplank/membership';
 import type { VmAddress } from '@spoolplank/settings';
 import { toCallerAddress } from '@spoolplank/vm';
@@ -8,27 +8,27 @@
 export interface WeightedAddress {
   readonly address: string;
   readonly dataCentre: string;
-  /** Share of requests to send there. */
+  /** Relative share of requests to send to this address. */
   readonly weight: number;
 }
 
 export interface AddressAnswer {
   readonly addresses: readonly WeightedAddress[];
-  /** How long to keep this answer; differs a little, so that not all callers ask at once. */
+  /** Cache time of this answer, with jitter so that callers do not all refresh at once. */
   readonly keepMs: number;
-  /** With `for=NAME`: where that backend server announces itself, as host:port. */
+  /** With `for=NAME`: addresses, as host:port, at which that backend server announces itself. */
   readonly registrars?: readonly string[];
 }
 
-const STAGGER = 0.2;
-const LOCAL_FACTOR = 3;
-const FULL_SHARE = 0.95;
+const CACHE_TIME_JITTER = 0.2;
+const LOCAL_WEIGHT_FACTOR = 3;
+const FULL_LOAD_SHARE = 0.95;
 
 function toAddress({ host, port }: Announcement): string {
   return `${host}:${port}`;
 }
 
-/** Entry VMs that take requests, those of a data centre weighing more. */
+/** Live entry VMs, weighted by spare capacity and in favour of one data centre. */
 export function listEntryAddresses(
   context: EntryContext,
   dataCentre: string | undefined,
@@ -38,35 +38,38 @@
     .listLive()
     .map(({ announcement }) => announcement)
     .filter(({ services }) => services.includes(ENTRY_SERVICE));
-  const roomy = live.filter(({ load }) => load.running < capacity * FULL_SHARE);
-  return (roomy.length > 0 ? roomy : live)
+  const belowFullLoad = live.filter(({ load }) => load.running < capacity * FULL_LOAD_SHARE);
+  return (belowFullLoad.length > 0 ? belowFullLoad : live)
     .map((announcement) => {
-      const spare = Math.max(1, capacity - announcement.load.running - announcement.load.queued);
-      const factor = announcement.dataCentre === dataCentre ? LOCAL_FACTOR : 1;
+      const spareCapacity = Math.max(
+        1,
+        capacity - announcement.load.running - announcement.load.queued,
+      );
+      const localityFactor = announcement.dataCentre === dataCentre ? LOCAL_WEIGHT_FACTOR : 1;
       return {
         address: toAddress(announcement),
         dataCentre: announcement.dataCentre,
-        weight: Math.round(spare * factor),
+        weight: Math.round(spareCapacity * localityFactor),
       };
     })
     .sort((a, b) => b.weight - a.weight || (a.address < b.address ? -1 : 1));
 }
 
-/** Addresses for a refusal: where else to go. */
+/** Addresses of other entry VMs, for an error answer that tells the caller to retry elsewhere. */
 export function listOtherAddresses(context: EntryContext): readonly string[] {
-  const own = toCallerAddress(context.settings.vm);
+  const ownAddress = toCallerAddress(context.settings.vm);
   return listEntryAddresses(context, context.settings.vm.dataCentre)
     .map(({ address }) => address)
-    .filter((address) => address !== own);
+    .filter((address) => address !== ownAddress);
 }
 
 export function answerAddresses(context: EntryContext, url: URL): AddressAnswer {
   const dataCentre = url.searchParams.get('dataCentre') ?? undefined;
   const name = url.searchParams.get('for');
-  const stagger = 1 + STAGGER * (context.random.nextFloat() - 0.5);
+  const jitterFactor = 1 + CACHE_TIME_JITTER * (context.random.nextFloat() - 0.5);
   const answer = {
     addresses: listEntryAddresses(context, dataCentre),
-    keepMs: Math.round(context.timings.addressTtlMs * stagger),
+    keepMs: Math.round(context.timings.addressTtlMs * jitterFactor),
   };
   if (name === null) return answer;
   const registrars = context.directorySync.registrarsFor(
--- a/packages/entry/src/sessions/completionBody.ts
+++ b/packages/entry/src/sessions/completionBody.ts
@@ -1,4 +1,4 @@
-/** The body of a completion, in the form that clients of model servers send. */
+/** Parses the body of a completion request, in the format of common model servers. */
 import { isJsonObject, SpoolplankError } from '@spoolplank/shared';
 import type { JsonObject, JsonValue } from '@spoolplank/shared';
 import type { CallerRequest } from './callerRequest';
@@ -6,14 +6,14 @@
 
 const DEFAULT_MAX_TOKENS = 256;
 
-/** A checked body. */
+/** A validated request body. */
 export interface Completion {
   readonly request: SessionRequest;
   readonly isStreamed: boolean;
 }
 
-/** An error that names the place in the body. */
-export function invalidBody(pointer: string, expected: string): SpoolplankError {
+/** Creates a `bad-request` error that names the invalid place in the body. */
+export function createInvalidBodyError(pointer: string, expected: string): SpoolplankError {
   const finding = {
     source: 'body',
     pointer,
@@ -28,12 +28,12 @@
 
 function readMessages(value: JsonValue | undefined): string {
   if (!Array.isArray(value) || value.length === 0)
-    throw invalidBody('/messages', 'a list of {role, content}');
+    throw createInvalidBodyError('/messages', 'a list of {role, content}');
   return (value as readonly JsonValue[])
     .map((message, index) => {
       const { role, content } = isJsonObject(message) ? message : {};
       if (typeof role !== 'string' || typeof content !== 'string')
-        throw invalidBody(`/messages/${index}`, '{role, content} as text');
+        throw createInvalidBodyError(`/messages/${index}`, '{role, content} as text');
       return `${role}: ${content}`;
     })
     .join('\n');
@@ -41,7 +41,8 @@
 
 function readPrompt(body: JsonObject, isChat: boolean): string {
   if (isChat) return readMessages(body.messages);
-  if (typeof body.prompt !== 'string' || body.prompt === '') throw invalidBody('/prompt', 'text');
+  if (typeof body.prompt !== 'string' || body.prompt === '')
+    throw createInvalidBodyError('/prompt', 'text');
   return body.prompt;
 }
 
@@ -50,20 +51,20 @@
     body.max_tokens ?? body.max_completion_tokens ?? Math.min(DEFAULT_MAX_TOKENS, limit);
   const isValid =
     typeof value === 'number' && Number.isInteger(value) && value >= 1 && value <= limit;
-  if (!isValid) throw invalidBody('/max_tokens', `a whole number from 1 to ${limit}`);
+  if (!isValid) throw createInvalidBodyError('/max_tokens', `a whole number from 1 to ${limit}`);
   return value;
 }
 
-function readFlag(body: JsonObject, name: string): boolean {
+function readBoolean(body: JsonObject, name: string): boolean {
   const value = body[name] ?? false;
-  if (typeof value !== 'boolean') throw invalidBody(`/${name}`, 'true or false');
+  if (typeof value !== 'boolean') throw createInvalidBodyError(`/${name}`, 'true or false');
   return value;
 }
 
 /**
- * Reads the body of a completion.
+ * Parses and validates the body of a completion request.
  *
- * @throws SpoolplankError `bad-request` with the place and what is expected there.
+ * @throws SpoolplankError `bad-request` with the invalid place and the expected value.
  */
 export function readCompletion(
   body: JsonValue,
@@ -71,7 +72,7 @@
   caller: CallerRequest,
   isChat: boolean,
 ): Completion {
-  if (!isJsonObject(body)) throw invalidBody('', 'an object');
+  if (!isJsonObject(body)) throw createInvalidBodyError('', 'an object');
   const request: SessionRequest = {
     model,
     isChat,
@@ -79,5 +80,5 @@
     maxTokens: readMaxTokens(body, caller.policy.maxOutputTokens),
     priority: caller.policy.priority,
   };
-  return { request, isStreamed: readFlag(body, 'stream') };
+  return { request, isStreamed: readBoolean(body, 'stream') };
 }
--- a/packages/entry/src/sessions/completions.ts
+++ b/packages/entry/src/sessions/completions.ts
@@ -1,4 +1,7 @@
-/** `POST /v1/chat/completions` and `/v1/completions`, streamed and whole, and their resumption. */
+/**
+ * `POST /v1/chat/completions` and `/v1/completions`, streamed or as one JSON body, and the
+ * resumption of their sessions.
+ */
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { parseJsonBody, readBody } from '@spoolplank/node';
@@ -8,7 +11,7 @@
 import type { AnswerWriter } from './answerWriter';
 import { deadlineOf, readCallerRequest } from './callerRequest';
 import type { CallerRequest } from './callerRequest';
-import { invalidBody, readCompletion } from './completionBody';
+import { createInvalidBodyError, readCompletion } from './completionBody';
 import type { EntryContext } from './entryContext';
 import { readResumePoint } from './resumePoint';
 import type { ResumePoint } from './resumePoint';
@@ -17,11 +20,11 @@
 import type { SessionRecord } from './sessionStore';
 
 const CHAT_PATH = '/v1/chat/completions';
-/** Attempts that one entry VM can make before numbers of the next takeover begin. */
+/** Attempt numbers reserved for each takeover of a session by an entry VM. */
 const ATTEMPTS_PER_TAKEOVER = 100_000;
 
-/** Aborts when the caller has gone or the answer comes too late. */
-function watchCaller(
+/** Aborts when the caller disconnects or the deadline passes. */
+function createCallerAbort(
   caller: CallerRequest,
   response: ServerResponse,
   nowMs: number,
@@ -38,7 +41,7 @@
   return {
     controller,
     onFirstToken() {
-      // A deadline from the settings is for the first token: sessions may last for hours.
+      // A deadline from the settings applies to the first token only: sessions may last for hours.
       if (caller.statedDeadlineMs === undefined) clearTimeout(timer);
     },
   };
@@ -53,13 +56,13 @@
   replication: SessionReplication,
 ): CompletionRoute {
   const { mirror, clock, admissionControl, sessions, metrics } = context;
-  const drivers = new Map<string, AbortController>();
+  const activeControllers = new Map<string, AbortController>();
 
   function findModel(
     organisation: string,
     model: JsonValue | undefined,
   ): { readonly model: string; readonly layers: number } {
-    if (typeof model !== 'string') throw invalidBody('/model', 'the name of a model');
+    if (typeof model !== 'string') throw createInvalidBodyError('/model', 'the name of a model');
     const definition = Object.hasOwn(mirror.tree.services ?? {}, model)
       ? mirror.tree.services?.[model]
       : undefined;
@@ -71,7 +74,7 @@
 
   async function findSession(resume: ResumePoint, organisation: string): Promise<SessionRecord> {
     const record = await replication.fetch(resume.sessionId);
-    // Another organisation's session is answered like one that does not exist.
+    // A session of another organisation gets the same error as one that does not exist.
     if (record?.organisation !== organisation) throw new SpoolplankError('unknown-session');
     return record;
   }
@@ -83,12 +86,12 @@
     writer: AnswerWriter,
     response: ServerResponse,
   ): Promise<void> {
-    const { controller, onFirstToken } = watchCaller(caller, response, clock.nowMs());
+    const { controller, onFirstToken } = createCallerAbort(caller, response, clock.nowMs());
     const { signal } = controller;
-    // A caller that comes back before its old connection was seen to be gone takes over from it.
-    drivers.get(record.id)?.abort();
-    drivers.set(record.id, controller);
-    let isFirst = record.tokens.length === 0;
+    // A caller may resume before its old connection is known to be closed; the new request wins.
+    activeControllers.get(record.id)?.abort();
+    activeControllers.set(record.id, controller);
+    let isFirstToken = record.tokens.length === 0;
     try {
       record.tokens.forEach((token, position) => writer.token(token, position));
       await driveSession({
@@ -100,11 +103,11 @@
         sink: {
           drained: writer.drained,
           onToken(token, position) {
-            if (isFirst) {
+            if (isFirstToken) {
               metrics.observe('spoolplank_first_token_ms', clock.nowMs() - caller.receivedAtMs);
               onFirstToken();
             }
-            isFirst = false;
+            isFirstToken = false;
             metrics.count('spoolplank_tokens_total');
             return writer.token(token, position);
           },
@@ -118,7 +121,7 @@
     } catch (thrown) {
       writer.fail(toSpoolplankError(thrown));
     } finally {
-      if (drivers.get(record.id) === controller) drivers.delete(record.id);
+      if (activeControllers.get(record.id) === controller) activeControllers.delete(record.id);
     }
   }
 
@@ -141,9 +144,12 @@
     });
   }
 
-  /** Makes sure that attempt numbers go on rising, whoever drove the session before. */
-  async function takeOver(record: SessionRecord): Promise<number> {
-    const lease = await context.control.call<readonly { readonly fencingNumber?: number }[]>(
+  /**
+   * Reserves attempt numbers above those of any entry VM that ran the session before, by a fencing
+   * number from the control group. Returns the last number before the reserved ones.
+   */
+  async function reserveAttempts(record: SessionRecord): Promise<number> {
+    const results = await context.control.call<readonly { readonly fencingNumber?: number }[]>(
       'control.submit',
       {
         requests: [
@@ -156,9 +162,11 @@
         ],
       },
     );
-    const fencingNumber = lease[0]?.fencingNumber;
+    const fencingNumber = results[0]?.fencingNumber;
     if (fencingNumber === undefined)
-      throw new SpoolplankError('unknown-session', { detail: 'It is being resumed elsewhere.' });
+      throw new SpoolplankError('unknown-session', {
+        detail: 'The session is being resumed on another VM.',
+      });
     return Math.max(record.attempt, fencingNumber * ATTEMPTS_PER_TAKEOVER);
   }
 
@@ -172,8 +180,8 @@
     const { model, layers } = findModel(organisation, record.request.model);
     const caller = readCallerRequest(request, organisation, model, mirror, clock.nowMs());
     await admissionControl.run(caller, async () => {
-      // Beyond any attempt that an unknown entry VM may still drive.
-      record.attempt = await takeOver(record);
+      // Exceeds the number of any attempt that another entry VM may still be running.
+      record.attempt = await reserveAttempts(record);
       await run(record, layers, caller, createStreamWriter(record, response, resume), response);
     });
   }
@@ -182,9 +190,9 @@
     async serve(request, response, organisation) {
       const resume = readResumePoint(request);
       const { maxBodyBytes } = mirror.policyOf({ organisation });
-      const raw = await readBody(request, maxBodyBytes);
+      const rawBody = await readBody(request, maxBodyBytes);
       if (resume) await serveResumed(resume, request, response, organisation);
-      else await serveNew(parseJsonBody(raw), request, response, organisation);
+      else await serveNew(parseJsonBody(rawBody), request, response, organisation);
     },
   };
 }
--- a/packages/entry/src/sessions/dispatchPlain.ts
+++ b/packages/entry/src/sessions/dispatchPlain.ts
@@ -1,4 +1,4 @@
-/** Sends a plain request to a backend server, and again to another where that is allowed. */
+/** Dispatches a plain request to a backend server, with retries on others where they are safe. */
 import { Agent } from 'node:http';
 import type { IncomingHttpHeaders } from 'node:http';
 import { callHttp, createAgent } from '@spoolplank/node';
@@ -22,14 +22,14 @@
   readonly body: Buffer;
 }
 
-const KEPT_AGENT = createAgent();
+const KEEP_ALIVE_AGENT = createAgent();
 /**
- * For requests that must not run twice: a connection of their own. A kept one may be closed
- * by the other side just as the request is written, and whether it ran is unknown.
+ * Opens a new connection for each request that must not run twice. A server may close a reused
+ * connection just as the request is written, which leaves unknown whether the request ran.
  */
-const FRESH_AGENT = new Agent({ keepAlive: false });
-const RETRY_AFTER_NONE_MS = 1000;
-/** With it a backend server says that it did not run a request. */
+const SINGLE_USE_AGENT = new Agent({ keepAlive: false });
+const DEFAULT_RETRY_AFTER_MS = 1000;
+/** Response header with which a backend server states that it did not run the request. */
 const OUTCOME_HEADER = 'spoolplank-outcome';
 
 async function attempt(
@@ -49,7 +49,7 @@
       method: call.method,
       path: call.path,
       body: call.body,
-      agent: caller.isRepeatable ? KEPT_AGENT : FRESH_AGENT,
+      agent: caller.isRepeatable ? KEEP_ALIVE_AGENT : SINGLE_USE_AGENT,
       timeoutMs: remainingMs,
       signal: controller.signal,
       headers: copyRequestHeaders(call.headers, {
@@ -64,7 +64,7 @@
     if (answer.status === 503 && answer.headers[OUTCOME_HEADER] === 'not-run') {
       throw new SpoolplankError('backend-server-failed', {
         outcome: 'not-run',
-        detail: `${target.name} refused it.`,
+        detail: `${target.name} refused the request.`,
       });
     }
     return answer;
@@ -73,7 +73,7 @@
   }
 }
 
-async function attemptCounted(
+async function attemptWithMetrics(
   context: EntryContext,
   call: PlainCall,
   target: Announcement,
@@ -97,15 +97,15 @@
   }
 }
 
-/** Picks a backend server, one that this request has not been to while there is such a one. */
+/** Selects a backend server, preferring those that this request has not been tried on. */
 function selectTarget(
   context: EntryContext,
   { service }: CallerRequest,
   excluded: ReadonlySet<string>,
-  unpermitted: ReadonlySet<string>,
+  withoutPermit: ReadonlySet<string>,
 ): Announcement | undefined {
   const { clock, random, loads, settings } = context;
-  const announced = listBackendServers(context).filter(({ name }) => !unpermitted.has(name));
+  const announced = listBackendServers(context).filter(({ name }) => !withoutPermit.has(name));
   const select = (without: ReadonlySet<string>) => {
     const { dataCentre } = settings.vm;
     const request = { service, dataCentre, excluded: without, nowMs: clock.nowMs() };
@@ -114,39 +114,42 @@
   return select(excluded) ?? select(new Set());
 }
 
-/** A server that may be sent the request now, or when it is the caller's turn. */
-interface Target {
+/** The selected server, or the retry delay where no server grants a permit. */
+interface TargetChoice {
   readonly server: Announcement | undefined;
-  /** Of the servers that named a limit, the first turn; undefined where none did. */
+  /** Shortest retry delay of the servers that refused a permit; undefined where none did. */
   readonly retryInMs: number | undefined;
 }
 
-/** Picks a server, and takes a permit where it named a limit; others come before a wait. */
+/**
+ * Selects a server and takes a permit where it named a limit. If a server grants no permit, the
+ * others are tried before the caller is told to wait.
+ */
 async function findTarget(
   context: EntryContext,
   caller: CallerRequest,
   excluded: ReadonlySet<string>,
-): Promise<Target> {
-  const unpermitted = new Set<string>();
-  const retriesInMs: number[] = [];
+): Promise<TargetChoice> {
+  const withoutPermit = new Set<string>();
+  const retryDelaysMs: number[] = [];
   for (;;) {
-    const server = selectTarget(context, caller, excluded, unpermitted);
-    const retryInMs = retriesInMs.length > 0 ? Math.min(...retriesInMs) : undefined;
+    const server = selectTarget(context, caller, excluded, withoutPermit);
+    const retryInMs = retryDelaysMs.length > 0 ? Math.min(...retryDelaysMs) : undefined;
     if (!server) return { server, retryInMs };
     const permit = await context.limits.take(server);
     if (permit.isPermitted) return { server, retryInMs };
-    unpermitted.add(server.name);
-    retriesInMs.push(permit.retryInMs);
+    withoutPermit.add(server.name);
+    retryDelaysMs.push(permit.retryInMs);
   }
 }
 
-/** The worst that may be true of a request after all its attempts. */
-function worse(a: Outcome, b: Outcome): Outcome {
+/** Combines the outcomes of two attempts: `not-run` only if neither can have run. */
+function worseOutcome(a: Outcome, b: Outcome): Outcome {
   return a === 'not-run' ? b : a;
 }
 
 /**
- * Dispatches a request until it has an answer.
+ * Dispatches a request until it is answered or may not be retried.
  *
  * @throws SpoolplankError whose outcome covers every attempt: `not-run` only if none of them
  * can have run.
@@ -156,7 +159,7 @@
   const { retryBudget, clock, metrics } = context;
   const excluded = new Set<string>();
   let outcome: Outcome = 'not-run';
-  let turnInMs: number | undefined;
+  let permitRetryInMs: number | undefined;
   let lastError: SpoolplankError | undefined;
   retryBudget.earn();
   for (let tries = 0; tries <= caller.policy.maxRetries; tries += 1) {
@@ -164,14 +167,14 @@
       throw new SpoolplankError('deadline-exceeded', { outcome, cause: lastError });
     }
     const { server: target, retryInMs } = await findTarget(context, caller, excluded);
-    turnInMs = retryInMs;
+    permitRetryInMs = retryInMs;
     if (!target) break;
     try {
-      return await attemptCounted(context, call, target);
+      return await attemptWithMetrics(context, call, target);
     } catch (thrown) {
       lastError = toSpoolplankError(thrown);
       excluded.add(target.name);
-      outcome = worse(outcome, lastError.outcome);
+      outcome = worseOutcome(outcome, lastError.outcome);
       const isSafe = lastError.outcome === 'not-run' || caller.isRepeatable;
       if (!isSafe || !retryBudget.spend()) break;
       metrics.count('spoolplank_retries_total', { service: caller.service });
@@ -187,7 +190,7 @@
     });
   }
   throw new SpoolplankError('no-backend-server', {
-    retryAfterMs: turnInMs ?? retryAfterMs(context, caller.service, RETRY_AFTER_NONE_MS),
+    retryAfterMs: permitRetryInMs ?? retryAfterMs(context, caller.service, DEFAULT_RETRY_AFTER_MS),
     cause: lastError,
   });
 }
--- a/packages/entry/src/sessions/entryRole.ts
+++ b/packages/entry/src/sessions/entryRole.ts
@@ -1,4 +1,4 @@
-/** The role `entry`: the parts of an entry VM, wired. */
+/** The role `entry`: creates and connects the components of an entry VM. */
 import type { Server } from 'node:http';
 import { closeServer, delay } from '@spoolplank/node';
 import type { PeerMethod } from '@spoolplank/node';
@@ -24,9 +24,9 @@
 export interface EntryRole {
   readonly methods: Readonly<Record<string, PeerMethod>>;
   start(): Promise<void>;
-  /** Leaves the address answers, refuses new requests, and resolves when the last has ended. */
+  /** Announces the shutdown, rejects new requests, and resolves when the last one has ended. */
   drain(): Promise<void>;
-  /** Ends at once; returns how many requests were cut off. */
+  /** Stops immediately; returns the number of aborted requests. */
   stop(): Promise<number>;
   describe(): JsonValue;
   settingsVersion(): number;
@@ -63,7 +63,7 @@
     readLoad: () => ({ running: admissionControl.running, queued: admissionControl.waiting }),
   });
   const sessions = createSessionStore({ clock });
-  const entry: EntryContext = {
+  const entryContext: EntryContext = {
     ...context,
     control,
     mirror,
@@ -79,11 +79,11 @@
     isShuttingDown: () => isShuttingDown,
   };
   const replication = createSessionReplication(context, sessions);
-  const completions = createCompletionRoute(entry, replication);
-  const operators = createOperatorRoutes({ context: entry, describeControl, recovery });
+  const completions = createCompletionRoute(entryContext, replication);
+  const operators = createOperatorRoutes({ context: entryContext, describeControl, recovery });
 
   const methods: Readonly<Record<string, PeerMethod>> = {
-    ...entry.limits.methods,
+    ...entryContext.limits.methods,
     'directory.pull': async (params) =>
       (await directorySync.serve(params as unknown as DirectoryPull)) as unknown as JsonValue,
     'settings.relay': async (params) =>
@@ -108,9 +108,9 @@
       settings: { version: mirror.version, remainingMs: mirror.remainingMs() },
       directory: directorySync.directory.listAll() as unknown as JsonValue,
       admission: admissionControl.counts() as unknown as JsonValue,
-      retryBudget: entry.retryBudget.saved,
-      backoffs: entry.backoffs.list() as unknown as JsonValue,
-      limits: entry.limits.describe(),
+      retryBudget: entryContext.retryBudget.saved,
+      backoffs: entryContext.backoffs.list() as unknown as JsonValue,
+      limits: entryContext.limits.describe(),
       sessions: sessions.size,
       control: describeControl(),
       memory: {
@@ -127,9 +127,9 @@
       await mirror.start();
       directorySync.start();
       replication.start();
-      sweepTimer = setInterval(() => entry.limits.sweep(), SWEEP_INTERVAL_MS);
+      sweepTimer = setInterval(() => entryContext.limits.sweep(), SWEEP_INTERVAL_MS);
       server = await listenForCallers({
-        context: entry,
+        context: entryContext,
         completions,
         operators,
         dump: describe,
@@ -142,14 +142,14 @@
       await replication.flush();
     },
     async stop() {
-      const cut = admissionControl.running + admissionControl.waiting;
+      const abortedRequests = admissionControl.running + admissionControl.waiting;
       isShuttingDown = true;
       mirror.stop();
       directorySync.stop();
       replication.stop();
       clearInterval(sweepTimer);
       if (server) await closeServer(server, true);
-      return cut;
+      return abortedRequests;
     },
     describe,
     settingsVersion: () => mirror.version,
--- a/packages/entry/src/sessions/entryServer.ts
+++ b/packages/entry/src/sessions/entryServer.ts
@@ -1,4 +1,4 @@
-/** The listener for callers, backend servers and operators: which path leads where. */
+/** HTTP server for callers, backend servers and operators, with its routes. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { parseAnnouncement } from '@spoolplank/membership';
 import {
@@ -28,10 +28,10 @@
 ) => Promise<void> | void;
 
 interface Route {
-  /** Undefined stands for every method. */
+  /** Undefined matches every method. */
   readonly method: string | undefined;
   readonly path: string;
-  /** Whether the path is only a beginning. */
+  /** Whether the path matches as a prefix. */
   readonly isPrefix?: boolean;
   readonly handle: Handler;
 }
@@ -44,7 +44,7 @@
 }
 
 const MAX_ANNOUNCEMENT_BYTES = 262_144;
-const STALE_RETRY_AFTER_MS = 1000;
+const UNAVAILABLE_RETRY_AFTER_MS = 1000;
 
 function createRoutes({
   context,
@@ -59,18 +59,18 @@
       throw new SpoolplankError('unauthorized');
   }
 
-  /** Authenticates a caller's request and makes sure that it may be taken here. */
+  /** Authenticates a caller's request and checks that this VM may serve it. */
   function admitCaller(request: IncomingMessage): string {
     if (context.isShuttingDown())
-      throw new SpoolplankError('shutting-down', { retryAfterMs: STALE_RETRY_AFTER_MS });
-    const isKnown = mirror.version > 0 || mirror.isFresh();
-    if (!isKnown)
-      throw new SpoolplankError('settings-stale', { retryAfterMs: STALE_RETRY_AFTER_MS });
+      throw new SpoolplankError('shutting-down', { retryAfterMs: UNAVAILABLE_RETRY_AFTER_MS });
+    const hasSettings = mirror.version > 0 || mirror.isFresh();
+    if (!hasSettings)
+      throw new SpoolplankError('settings-stale', { retryAfterMs: UNAVAILABLE_RETRY_AFTER_MS });
     const organisation = authenticate(request, mirror);
-    const isServing =
+    const mayServe =
       mirror.isFresh() || mirror.policyOf({ organisation }).onStaleSettings === 'serve';
-    if (!isServing)
-      throw new SpoolplankError('settings-stale', { retryAfterMs: STALE_RETRY_AFTER_MS });
+    if (!mayServe)
+      throw new SpoolplankError('settings-stale', { retryAfterMs: UNAVAILABLE_RETRY_AFTER_MS });
     return organisation;
   }
 
@@ -178,24 +178,24 @@
 }
 
 function findRoute(routes: readonly Route[], method: string, path: string): Route {
-  const ofPath = routes.filter((route) =>
+  const routesOfPath = routes.filter((route) =>
     route.isPrefix ? path.startsWith(route.path) : path === route.path,
   );
-  const route = ofPath.find(
+  const route = routesOfPath.find(
     (candidate) => candidate.method === undefined || candidate.method === method,
   );
   if (route) return route;
-  throw new SpoolplankError(ofPath.length > 0 ? 'method-not-allowed' : 'not-found');
+  throw new SpoolplankError(routesOfPath.length > 0 ? 'method-not-allowed' : 'not-found');
 }
 
-/** Errors after which the caller should go to another VM. */
-const ELSEWHERE_CODES: ReadonlySet<string> = new Set([
+/** Error codes whose answer lists other entry VMs for the caller to retry on. */
+const RETRY_ELSEWHERE_CODES: ReadonlySet<string> = new Set([
   'settings-stale',
   'shutting-down',
   'overloaded',
 ]);
 
-/** Starts the server that callers, backend servers and operators connect to. */
+/** Starts the HTTP server for callers, backend servers and operators. */
 export function listenForCallers(options: EntryServerOptions): Promise<Server> {
   const { context } = options;
   const { vm } = context.settings;
@@ -215,7 +215,7 @@
         const error = sendError(
           response,
           thrown,
-          ELSEWHERE_CODES.has(code) ? listOtherAddresses(context) : undefined,
+          RETRY_ELSEWHERE_CODES.has(code) ? listOtherAddresses(context) : undefined,
         );
         context.metrics.count('spoolplank_refusals_total', {
           code: error.code,
--- a/packages/entry/src/sessions/forwardedHeaders.ts
+++ b/packages/entry/src/sessions/forwardedHeaders.ts
@@ -1,8 +1,8 @@
-/** Which headers go on to a backend server and back to the caller. */
+/** Selects the headers to forward to a backend server, and back to the caller. */
 import type { IncomingHttpHeaders } from 'node:http';
 
-/** Headers of one connection (RFC 9110, section 7.6.1), and those that this VM writes itself. */
-const NOT_FORWARDED: ReadonlySet<string> = new Set([
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), and those that this VM sets itself. */
+const NOT_FORWARDED_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -21,27 +21,28 @@
 export type ForwardedHeaders = Readonly<Record<string, string | readonly string[]>>;
 
 function copyHeaders(headers: IncomingHttpHeaders): Record<string, string | readonly string[]> {
-  // What the connection header names belongs to that connection too.
-  const named = new Set(
+  // Headers named in the connection header are hop-by-hop too.
+  const connectionHeaders = new Set(
     (headers.connection ?? '').split(',').map((name) => name.trim().toLowerCase()),
   );
   return Object.fromEntries(
     Object.entries(headers).flatMap(([name, value]) => {
-      const isLeftOut = value === undefined || NOT_FORWARDED.has(name) || named.has(name);
-      return isLeftOut ? [] : [[name, value]];
+      const isOmitted =
+        value === undefined || NOT_FORWARDED_HEADERS.has(name) || connectionHeaders.has(name);
+      return isOmitted ? [] : [[name, value]];
     }),
   );
 }
 
-/** Headers for the backend server; the caller's `spoolplank-*` are dropped, so none is forged. */
+/** Headers for the backend server, without any `spoolplank-*` that the caller may have forged. */
 export function copyRequestHeaders(
   headers: IncomingHttpHeaders,
-  own: Readonly<Record<string, string>>,
+  ownHeaders: Readonly<Record<string, string>>,
 ): ForwardedHeaders {
   const copied = Object.entries(copyHeaders(headers)).filter(
     ([name]) => !name.startsWith('spoolplank-'),
   );
-  return { ...Object.fromEntries(copied), ...own };
+  return { ...Object.fromEntries(copied), ...ownHeaders };
 }
 
 export function copyResponseHeaders(headers: IncomingHttpHeaders): ForwardedHeaders {
--- a/packages/entry/src/sessions/operatorRoutes.ts
+++ b/packages/entry/src/sessions/operatorRoutes.ts
@@ -1,4 +1,4 @@
-/** What operators do over HTTP: settings, status, dump, metrics. */
+/** HTTP API for operators: settings, status and recovery of the control group. */
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage } from 'node:http';
 import { parseJsonBody, readBody } from '@spoolplank/node';
@@ -22,15 +22,15 @@
   getHistory(url: URL): Promise<JsonValue>;
   getReach(url: URL): Promise<JsonValue>;
   getStatus(): JsonValue;
-  /** Copies of the control group, and from which it may go on without a majority. */
+  /** The replicas of the control group, and which of them may recover it without a majority. */
   getRecovery(): Promise<JsonValue>;
   recover(request: IncomingMessage): Promise<JsonValue>;
 }
 
 const MAX_CHANGE_BYTES = 33_554_432;
-const DEFAULT_HISTORY = 20;
-const MAX_HISTORY = 1000;
-const CHANGE_WITHIN_MS = 8000;
+const DEFAULT_HISTORY_LIMIT = 20;
+const MAX_HISTORY_LIMIT = 1000;
+const CHANGE_TIMEOUT_MS = 8000;
 const ID_PATTERN = /^[\x21-\x7e]{1,128}$/;
 
 function asJson(value: unknown): JsonValue {
@@ -46,20 +46,20 @@
   }, root);
 }
 
-const LEVELS: Readonly<Record<string, keyof BranchPath>> = {
+const BRANCH_LEVELS: Readonly<Record<string, keyof BranchPath>> = {
   organisations: 'organisation',
   services: 'service',
   pipelines: 'pipeline',
   backendServers: 'backendServer',
 };
 
-/** The branch that a pointer such as /organisations/a/services/b names. */
+/** Parses a pointer such as /organisations/a/services/b into a settings branch. */
 function toBranchPath(pointer: string): BranchPath {
   const segments = parsePointer(pointer);
   const path: Record<string, string> = {};
-  for (let at = 0; at + 1 < segments.length; at += 2) {
-    const level = LEVELS[segments[at] ?? ''];
-    const name = segments[at + 1];
+  for (let index = 0; index + 1 < segments.length; index += 2) {
+    const level = BRANCH_LEVELS[segments[index] ?? ''];
+    const name = segments[index + 1];
     if (!level || name === undefined)
       throw new SpoolplankError('bad-request', { detail: `${pointer} is not a branch.` });
     path[level] = name;
@@ -68,10 +68,10 @@
 }
 
 function readLimit(url: URL): number {
-  const limit = Number(url.searchParams.get('limit') ?? DEFAULT_HISTORY);
-  if (!Number.isInteger(limit) || limit < 1 || limit > MAX_HISTORY) {
+  const limit = Number(url.searchParams.get('limit') ?? DEFAULT_HISTORY_LIMIT);
+  if (!Number.isInteger(limit) || limit < 1 || limit > MAX_HISTORY_LIMIT) {
     throw new SpoolplankError('bad-request', {
-      detail: `limit: a whole number from 1 to ${MAX_HISTORY} is expected.`,
+      detail: `limit: a whole number from 1 to ${MAX_HISTORY_LIMIT} is expected.`,
     });
   }
   return limit;
@@ -134,11 +134,11 @@
     getConfig(url) {
       const pointer = url.searchParams.get('pointer') ?? '';
       const { version, tree } = mirror;
-      const head = { version, isConfirmed: mirror.isFresh() };
+      const versionInfo = { version, isConfirmed: mirror.isFresh() };
       if (url.searchParams.get('effective') !== 'true')
-        return { ...head, value: findValue(asJson(tree), pointer) };
+        return { ...versionInfo, value: findValue(asJson(tree), pointer) };
       const { policy, origins } = resolvePolicy(tree, toBranchPath(pointer));
-      return { ...head, value: asJson(policy), origins: asJson(origins) };
+      return { ...versionInfo, value: asJson(policy), origins: asJson(origins) };
     },
     async changeConfig(request) {
       const body = await readObject(request);
@@ -152,7 +152,7 @@
           author: readText(body, 'author', 'operator'),
           ...note,
         },
-        { withinMs: CHANGE_WITHIN_MS },
+        { withinMs: CHANGE_TIMEOUT_MS },
       );
       return asJson(reply);
     },
@@ -172,7 +172,7 @@
     },
     getStatus() {
       const rows = directorySync.directory.listAll();
-      const toRow = ({ announcement, deadlineMs }: (typeof rows)[number]) => ({
+      const describeServer = ({ announcement, deadlineMs }: (typeof rows)[number]) => ({
         name: announcement.name,
         dataCentre: announcement.dataCentre,
         state: context.clock.nowMs() > deadlineMs ? 'gone' : announcement.state,
@@ -200,8 +200,8 @@
           waiting: admissionControl.waiting,
           sessions: sessions.size,
         },
-        vms: rows.filter(isVm).map(toRow),
-        backendServers: rows.filter((row) => !isVm(row)).map(toRow),
+        vms: rows.filter(isVm).map(describeServer),
+        backendServers: rows.filter((row) => !isVm(row)).map(describeServer),
       });
     },
   };
--- a/packages/entry/src/sessions/plainService.ts
+++ b/packages/entry/src/sessions/plainService.ts
@@ -1,4 +1,4 @@
-/** `ANY /v1/services/{service}/{path}`: calls of plain services. */
+/** `ANY /v1/services/{service}/{path}`: requests to plain services. */
 import { createHash } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { readBody } from '@spoolplank/node';
@@ -14,11 +14,11 @@
 import type { EntryContext } from './entryContext';
 import { copyResponseHeaders } from './forwardedHeaders';
 
-/** Greatest answer that is kept to be given again. */
+/** Maximum size of an answer that is stored for replay. */
 const MAX_STORED_ANSWER_BYTES = 16_384;
-/** Allowed difference between a caller's clock and ours when a key states its age. */
+/** Tolerated difference between a caller's clock and this VM's, for the timestamp of a key. */
 const CLOCK_SKEW_MS = 60_000;
-const ALREADY_RUNNING_RETRY_MS = 1000;
+const CLAIM_RETRY_AFTER_MS = 1000;
 
 function writeAnswer(response: ServerResponse, answer: HttpAnswer, isReplayed = false): void {
   response.writeHead(answer.status, {
@@ -55,7 +55,7 @@
 
 type ClaimAnswer = (result: never) => HttpAnswer;
 
-/** What a caller is answered when its key cannot be claimed for it. */
+/** Answers or errors for a request whose key was not granted, by claim status. */
 const CLAIM_ANSWERS: Readonly<Record<Exclude<ClaimResult['status'], 'granted'>, ClaimAnswer>> = {
   settled({ outcome, answer }: Extract<ClaimResult, { status: 'settled' }>) {
     if (answer) return fromStoredAnswer(answer);
@@ -64,13 +64,13 @@
     });
   },
   held() {
-    throw new SpoolplankError('already-running', { retryAfterMs: ALREADY_RUNNING_RETRY_MS });
+    throw new SpoolplankError('already-running', { retryAfterMs: CLAIM_RETRY_AFTER_MS });
   },
   mismatch() {
     throw new SpoolplankError('key-reused');
   },
   full() {
-    throw new SpoolplankError('claims-full', { retryAfterMs: ALREADY_RUNNING_RETRY_MS });
+    throw new SpoolplankError('claims-full', { retryAfterMs: CLAIM_RETRY_AFTER_MS });
   },
   voided() {
     throw new SpoolplankError('claims-unavailable');
@@ -80,12 +80,12 @@
   },
 };
 
-function assertKeyIsYoung({ keyIssuedWallMs, policy }: CallerRequest, wallMs: number): void {
+function assertKeyAge({ keyIssuedWallMs, policy }: CallerRequest, wallMs: number): void {
   if (keyIssuedWallMs === undefined) return;
   if (keyIssuedWallMs < wallMs - policy.keyRetentionMs) throw new SpoolplankError('key-expired');
   if (keyIssuedWallMs > wallMs + CLOCK_SKEW_MS) {
     throw new SpoolplankError('invalid-header', {
-      detail: 'idempotency-key: its time lies in the future.',
+      detail: 'idempotency-key: its timestamp lies in the future.',
     });
   }
 }
@@ -107,17 +107,17 @@
   }
 }
 
-/** Runs a request that must not run twice: first the claim of its key, then the request. */
-async function runOnce(
+/** Runs a request at most once: claims its idempotency key, then dispatches it. */
+async function runAtMostOnce(
   context: EntryContext,
   call: PlainCall,
   key: string,
 ): Promise<{ answer: HttpAnswer; isReplayed: boolean }> {
   const { caller } = call;
-  assertKeyIsYoung(caller, context.clock.wallMs());
+  assertKeyAge(caller, context.clock.wallMs());
   const owner = `${context.settings.vm.vmId}/${context.instance}/${caller.requestId}`;
   const claim: ClaimIdentity = { organisation: caller.organisation, key, owner };
-  // Kept longer than the key may be used by as much as clocks may differ.
+  // The claim outlives the validity of the key by the tolerated clock difference, both ways.
   const retentionMs = caller.policy.keyRetentionMs + 2 * CLOCK_SKEW_MS;
   const result = await context.claims.acquire(claim, digestRequest(call), retentionMs);
   context.metrics.count('spoolplank_claims_total', { status: result.status });
@@ -126,7 +126,7 @@
   return { answer: CLAIM_ANSWERS[result.status](result as never), isReplayed: true };
 }
 
-/** Serves a call of a plain service from the first byte to the last. */
+/** Serves a request to a plain service. */
 export async function servePlainService(
   context: EntryContext,
   request: IncomingMessage,
@@ -159,7 +159,7 @@
   const { answer, isReplayed } = await context.admissionControl.run(caller, async () =>
     key === undefined
       ? { answer: await dispatchPlain(context, call), isReplayed: false }
-      : runOnce(context, call, key),
+      : runAtMostOnce(context, call, key),
   );
   writeAnswer(response, answer, isReplayed);
 }
--- a/packages/entry/src/sessions/resumePoint.ts
+++ b/packages/entry/src/sessions/resumePoint.ts
@@ -1,4 +1,4 @@
-/** Ids of events, and where a caller wants to go on with a session. */
+/** Event ids, and the point at which a caller resumes a session. */
 import type { IncomingMessage } from 'node:http';
 import { readSingleHeader } from '@spoolplank/node';
 import { SpoolplankError } from '@spoolplank/shared';
@@ -8,11 +8,12 @@
 const SESSION_PATTERN = /^[0-9a-f-]{36}$/;
 const EVENT_ID_PATTERN = /^([0-9a-f-]{36}):(\d{1,9}):([0-9a-f]{8})$/;
 
-/** The running checksum of an answer, as event ids carry it. */
+/** Formats the running checksum of an answer for an event id. */
 export function formatDigest(digest: number): string {
   return digest.toString(16).padStart(8, '0');
 }
-/** Where a caller wants to go on. */
+
+/** The point at which a caller resumes a session. */
 export interface ResumePoint {
   readonly sessionId: string;
   /** Position of the last token the caller has; -1 when it has none. */
@@ -22,7 +23,7 @@
 }
 
 /**
- * Reads where a caller wants to go on; undefined when it begins.
+ * Parses the resume point of a request; undefined for a new session.
  *
  * @throws SpoolplankError `invalid-header`.
  */
@@ -43,7 +44,7 @@
   }
   if (match && sessionId !== undefined && match[1] !== sessionId) {
     throw new SpoolplankError('invalid-header', {
-      detail: `${LAST_EVENT_HEADER} is of another session than ${SESSION_HEADER}.`,
+      detail: `${LAST_EVENT_HEADER} and ${SESSION_HEADER} name different sessions.`,
     });
   }
   const id = match?.[1] ?? sessionId ?? '';
