--- a/packages/entry/__tests__/decisions.spec.ts
+++ b/packages/entry/__tests__/decisions.spec.ts
@@ -101,21 +101,21 @@
   it('is reported for a chain that becomes slow, but not for one that was always slow', () => {
     const clock = createManualClock();
     const detector = createStagePatience({ clock, estimatedStepMs: 20, prefillTokens: 0 });
-    const takeTokens = (count: number, gapMs: number) => {
+    const receiveTokens = (count: number, gapMs: number) => {
       for (let tokens = 0; tokens < count; tokens += 1) {
         clock.advance(gapMs);
         detector.observe();
       }
     };
-    takeTokens(50, 60);
+    receiveTokens(50, 60);
     assert.equal(detector.degradedGapMs(), undefined, 'constantly slower than the estimate');
-    takeTokens(2, 200);
+    receiveTokens(2, 200);
     assert.equal(
       detector.degradedGapMs(),
       undefined,
       'two late tokens do not count as degradation',
     );
-    takeTokens(20, 300);
+    receiveTokens(20, 300);
     assert.ok((detector.degradedGapMs() ?? 0) > 200);
   });
 });
--- a/packages/entry/src/sessions/admissionControl.ts
+++ b/packages/entry/src/sessions/admissionControl.ts
@@ -82,8 +82,8 @@
 
 export function createAdmissionControl(mirror: SettingsMirror, clock: Clock): AdmissionControl {
   const admission = createAdmission();
-  const services = new Map<string, ServiceQueue>();
-  const waiting = new Map<string, QueuedRequest>();
+  const serviceQueues = new Map<string, ServiceQueue>();
+  const queuedRequests = new Map<string, QueuedRequest>();
 
   function createServiceQueue(service: string, concurrency: number): ServiceQueue {
     const hasRoom = (organisation: string) =>
@@ -102,17 +102,18 @@
     return { queue, fairQueue, meanDurationMs: 0 };
   }
 
-  function serviceOf(service: string): ServiceQueue {
+  function serviceQueueOf(service: string): ServiceQueue {
     const concurrency = Math.max(1, mirror.policyOf({ service }).maxInFlight);
-    const known = services.get(service) ?? createServiceQueue(service, concurrency);
-    services.set(service, known);
-    if (known.queue.concurrency !== concurrency) known.queue.concurrency = concurrency;
-    return known;
+    const serviceQueue = serviceQueues.get(service) ?? createServiceQueue(service, concurrency);
+    serviceQueues.set(service, serviceQueue);
+    if (serviceQueue.queue.concurrency !== concurrency)
+      serviceQueue.queue.concurrency = concurrency;
+    return serviceQueue;
   }
 
   /** Estimates the wait of a new request from its organisation's weighted share of the slots. */
   function estimateWaitMs({ organisation, service, policy }: CallerRequest): number {
-    const { queue, fairQueue, meanDurationMs } = serviceOf(service);
+    const { queue, fairQueue, meanDurationMs } = serviceQueueOf(service);
     if (queue.pending < queue.concurrency) return 0;
     const queuedAhead = fairQueue.waitingOf(organisation);
     const activeWeight = fairQueue.activeWeight + (queuedAhead === 0 ? policy.weight : 0);
@@ -128,15 +129,15 @@
     { organisation, service, policy }: CallerRequest,
     fullBranch: AdmissionBranch,
   ): boolean {
-    const { fairQueue, meanDurationMs, queue } = serviceOf(service);
+    const { fairQueue, meanDurationMs, queue } = serviceQueueOf(service);
     // Evicting other organisations' requests frees no capacity under this organisation's own limit.
     const isShared = fullBranch.pointer === '' || fullBranch.pointer.startsWith('/services/');
     const victimId = isShared
       ? fairQueue.findVictim(organisation, policy.weight, policy.priority)
       : undefined;
-    const request = victimId === undefined ? undefined : waiting.get(victimId);
+    const request = victimId === undefined ? undefined : queuedRequests.get(victimId);
     if (victimId === undefined || !request) return false;
-    waiting.delete(victimId);
+    queuedRequests.delete(victimId);
     request.ticket.end();
     const waitMs = (fairQueue.waiting * meanDurationMs) / queue.concurrency;
     request.controller.abort(
@@ -150,7 +151,7 @@
    * deadline applies to the first token only.
    */
   function reservedRunTimeMs({ service, isFirstTokenDeadline }: CallerRequest): number {
-    return isFirstTokenDeadline ? 0 : serviceOf(service).meanDurationMs;
+    return isFirstTokenDeadline ? 0 : serviceQueueOf(service).meanDurationMs;
   }
 
   function assertDeadlineFeasible(caller: CallerRequest): void {
@@ -191,7 +192,7 @@
 
   /** A finished request may bring its organisation below its limit for other services as well. */
   function rescheduleOtherServices(service: string): void {
-    services.forEach(({ queue }, name) => {
+    serviceQueues.forEach(({ queue }, name) => {
       // Assigning the concurrency makes p-queue check again which tasks may start.
       if (name !== service) queue.concurrency = Math.max(1, queue.concurrency);
     });
@@ -208,9 +209,9 @@
   }
 
   function recordDuration(service: string, durationMs: number): void {
-    const known = serviceOf(service);
-    const weight = known.meanDurationMs === 0 ? 1 : MEAN_DURATION_WEIGHT;
-    known.meanDurationMs += weight * (durationMs - known.meanDurationMs);
+    const serviceQueue = serviceQueueOf(service);
+    const weight = serviceQueue.meanDurationMs === 0 ? 1 : MEAN_DURATION_WEIGHT;
+    serviceQueue.meanDurationMs += weight * (durationMs - serviceQueue.meanDurationMs);
     admission.observeDuration(durationMs);
   }
 
@@ -236,10 +237,10 @@
       const ticket = admit(caller);
       const controller = new AbortController();
       const timer = startQueueTimer(caller, controller);
-      waiting.set(requestId, { ticket, controller });
+      queuedRequests.set(requestId, { ticket, controller });
       const task = async () => {
         clearTimeout(timer);
-        waiting.delete(requestId);
+        queuedRequests.delete(requestId);
         assertDeadlineStillFeasible(caller);
         ticket.start();
         const startedMs = clock.nowMs();
@@ -255,10 +256,10 @@
       const { signal } = controller;
       try {
         const options = { organisation, weight, priority, id: requestId, signal };
-        return (await serviceOf(service).queue.add(task, options)) as Result;
+        return (await serviceQueueOf(service).queue.add(task, options)) as Result;
       } finally {
         clearTimeout(timer);
-        waiting.delete(requestId);
+        queuedRequests.delete(requestId);
         ticket.end();
       }
     },
--- a/packages/entry/src/sessions/chainFinder.ts
+++ b/packages/entry/src/sessions/chainFinder.ts
@@ -14,7 +14,10 @@
   readonly incarnation: number;
   /** Whether the engine did not answer a probe; otherwise it was only part of a failed chain. */
   readonly isSilent: boolean;
-  /** Exclusions expire, since an engine that was merely too busy to answer is still usable. */
+  /**
+   * When the exclusion expires. A session may last for hours, and an engine that was merely too
+   * busy to answer must not be excluded for the rest of it.
+   */
   readonly expiresAtMs: number;
 }
 
--- a/packages/entry/src/sessions/completions.ts
+++ b/packages/entry/src/sessions/completions.ts
@@ -149,7 +149,7 @@
    * number from the control group. Returns the last number before the reserved ones.
    */
   async function reserveAttempts(record: SessionRecord): Promise<number> {
-    const results = await context.control.call<readonly { readonly fencingNumber?: number }[]>(
+    const leaseResults = await context.control.call<readonly { readonly fencingNumber?: number }[]>(
       'control.submit',
       {
         requests: [
@@ -162,7 +162,7 @@
         ],
       },
     );
-    const fencingNumber = results[0]?.fencingNumber;
+    const fencingNumber = leaseResults[0]?.fencingNumber;
     if (fencingNumber === undefined)
       throw new SpoolplankError('unknown-session', {
         detail: 'The session is being resumed on another VM.',
--- a/packages/entry/src/sessions/sessionLimits.ts
+++ b/packages/entry/src/sessions/sessionLimits.ts
@@ -62,7 +62,7 @@
 const PERMIT_METHOD = 'limits.permit';
 /** Covers the round trip and the delay on a busy VM. */
 const PERMIT_TIMEOUT_MS = 120;
-/** Retry delay if the owner does not answer; a failed owner is replaced in about this time. */
+/** Retry delay while the owner does not answer; a failed owner is replaced in about this time. */
 const DEFAULT_RETRY_DELAY_MS = 1000;
 
 /** A limit applies to one incarnation of a server. */
@@ -90,11 +90,11 @@
 
   function ownerOf(instanceId: string): VmAddress | undefined {
     const entries = listLiveEntryVms();
-    const [first] = rankByRendezvous(
+    const [ownerId] = rankByRendezvous(
       instanceId,
       entries.map((vm) => vm.vmId),
     );
-    return entries.find((vm) => vm.vmId === first);
+    return entries.find((vm) => vm.vmId === ownerId);
   }
 
   const countEntryVms = () => listLiveEntryVms().length;
--- a/packages/entry/src/sessions/sessionReplication.ts
+++ b/packages/entry/src/sessions/sessionReplication.ts
@@ -116,12 +116,12 @@
     },
     flush,
     async fetch(id) {
-      const local = store.find(id);
-      const others = rankHolders(context, id)
+      const localRecord = store.find(id);
+      const remoteHolders = rankHolders(context, id)
         .filter(({ vmId }) => vmId !== settings.vm.vmId)
         .slice(0, MAX_FETCH_HOLDERS);
       const updates = await Promise.all(
-        others.map((holder) =>
+        remoteHolders.map((holder) =>
           peers
             .call<SessionUpdate | null>(
               toPeerTarget(holder),
@@ -142,7 +142,7 @@
             update.tokens.length > existing.tokens.length);
         if (isMoreAdvanced) store.applyUpdate(update);
       });
-      return store.find(id) ?? local;
+      return store.find(id) ?? localRecord;
     },
     start() {
       flushTimer = setTimeout(flushPeriodically, FLUSH_INTERVAL_MS);
--- a/packages/entry/src/sessions/sessionStore.ts
+++ b/packages/entry/src/sessions/sessionStore.ts
@@ -99,13 +99,13 @@
   } = options;
   const records = new Map<string, SessionRecord>();
 
-  function put(record: SessionRecord): SessionRecord {
+  function insert(record: SessionRecord): SessionRecord {
     records.set(record.id, record);
     return record;
   }
 
   function createRecord(id: string, organisation: string, request: SessionRequest): SessionRecord {
-    return put({
+    return insert({
       id,
       organisation,
       request,
@@ -150,9 +150,9 @@
     },
     sweep() {
       const oldestMs = clock.nowMs() - retentionMs;
-      const byUse = [...records.values()].sort((a, b) => a.usedAtMs - b.usedAtMs);
-      let totalTokens = byUse.reduce((sum, record) => sum + estimateTokens(record), 0);
-      byUse.forEach((record) => {
+      const byLastUse = [...records.values()].sort((a, b) => a.usedAtMs - b.usedAtMs);
+      let totalTokens = byLastUse.reduce((sum, record) => sum + estimateTokens(record), 0);
+      byLastUse.forEach((record) => {
         if (record.usedAtMs >= oldestMs && totalTokens <= maxTotalTokens) return;
         records.delete(record.id);
         totalTokens -= estimateTokens(record);
--- a/packages/entry/src/sessions/settingsMirror.ts
+++ b/packages/entry/src/sessions/settingsMirror.ts
@@ -129,11 +129,11 @@
     downstreamReports.forEach(({ atMs }, vmId) => {
       if (atMs < oldestMs) downstreamReports.delete(vmId);
     });
-    const others = [...downstreamReports].map(([vmId, report]) => ({
+    const downstream = [...downstreamReports].map(([vmId, report]) => ({
       vmId,
       version: report.version,
     }));
-    return [{ vmId: settings.vm.vmId, version }, ...others];
+    return [{ vmId: settings.vm.vmId, version }, ...downstream];
   }
 
   async function sendPull(pull: SettingsPull): Promise<SettingsPullReply> {
--- a/packages/entry/src/sessions/stagePatience.ts
+++ b/packages/entry/src/sessions/stagePatience.ts
@@ -35,7 +35,7 @@
 const BUSY_FACTOR = 20;
 const MIN_GIVE_UP_MS = 2000;
 const GAP_WEIGHT = 0.2;
-/** Growth of the interval by which a chain counts as degraded: a factor, and at least a time. */
+/** Growth of the interval from which a chain counts as degraded: a factor, and a minimum time. */
 const DEGRADED_FACTOR = 3;
 const DEGRADED_MIN_MS = 15;
 /** Number of tokens after which the average interval of a chain counts as learnt. */
--- a/packages/entry/src/sessions/stageProbe.ts
+++ b/packages/entry/src/sessions/stageProbe.ts
@@ -5,7 +5,7 @@
 const PROBE_TIMEOUT_MS = 200;
 const PROBE_PATH = '/totals';
 
-async function isAnswering(stage: ChainStage): Promise<boolean> {
+async function respondsToProbe(stage: ChainStage): Promise<boolean> {
   try {
     const answer = await callHttp({
       endpoint: stage,
@@ -23,6 +23,6 @@
 export async function findSilentStages(
   stages: readonly ChainStage[],
 ): Promise<readonly ChainStage[]> {
-  const answers = await Promise.all(stages.map(isAnswering));
+  const answers = await Promise.all(stages.map(respondsToProbe));
   return stages.filter((_stage, index) => !answers[index]);
 }
