--- a/packages/entry/src/sessions/entryRole.ts
+++ b/packages/entry/src/sessions/entryRole.ts
@@ -1,4 +1,4 @@
-/** The role `entry`: the parts of an entry VM, wired. */
+/** The role `entry`: creates and connects the components of an entry VM. */
 import type { Server } from 'node:http';
 import { closeServer, delay } from '@spoolplank/node';
 import type { PeerMethod } from '@spoolplank/node';
@@ -13,7 +13,7 @@
 import type { DirectoryPull } from './directorySync';
 import type { EntryContext } from './entryContext';
 import { listenForCallers } from './entryServer';
-import { createGate } from './gate';
+import { createAdmissionControl } from './admissionControl';
 import { createOperatorRoutes } from './operatorRoutes';
 import { createSessionLimits } from './sessionLimits';
 import { createSessionReplication } from './sessionReplication';
@@ -24,9 +24,9 @@
 export interface EntryRole {
   readonly methods: Readonly<Record<string, PeerMethod>>;
   start(): Promise<void>;
-  /** Leaves the address answers, refuses new requests, and resolves when the last has ended. */
+  /** Announces the shutdown, rejects new requests, and resolves when the last one has ended. */
   drain(): Promise<void>;
-  /** Ends at once; returns how many requests were cut off. */
+  /** Stops immediately; returns the number of aborted requests. */
   stop(): Promise<number>;
   describe(): JsonValue;
   settingsVersion(): number;
@@ -55,20 +55,20 @@
   let sweepTimer: NodeJS.Timeout | undefined;
   const control = createControlClient(context, controlMethods);
   const mirror = createSettingsMirror({ context, control });
-  const gate = createGate(mirror, clock);
+  const admissionControl = createAdmissionControl(mirror, clock);
   const isTaking = () => !isShuttingDown && mirror.isFresh();
   const directorySync = createDirectorySync({
     context,
     isTaking,
-    readLoad: () => ({ running: gate.running, queued: gate.waiting }),
+    readLoad: () => ({ running: admissionControl.running, queued: admissionControl.waiting }),
   });
   const sessions = createSessionStore({ clock });
-  const entry: EntryContext = {
+  const entryContext: EntryContext = {
     ...context,
     control,
     mirror,
     directorySync,
-    gate,
+    admissionControl,
     sessions,
     isTaking,
     claims: createClaimsClient(control),
@@ -79,11 +79,11 @@
     isShuttingDown: () => isShuttingDown,
   };
   const replication = createSessionReplication(context, sessions);
-  const completions = createCompletionRoute(entry, replication);
-  const operators = createOperatorRoutes({ context: entry, describeControl, recovery });
+  const completions = createCompletionRoute(entryContext, replication);
+  const operators = createOperatorRoutes({ context: entryContext, describeControl, recovery });
 
   const methods: Readonly<Record<string, PeerMethod>> = {
-    ...entry.limits.methods,
+    ...entryContext.limits.methods,
     'directory.pull': async (params) =>
       (await directorySync.serve(params as unknown as DirectoryPull)) as unknown as JsonValue,
     'settings.relay': async (params) =>
@@ -107,10 +107,10 @@
       isShuttingDown,
       settings: { version: mirror.version, remainingMs: mirror.remainingMs() },
       directory: directorySync.directory.listAll() as unknown as JsonValue,
-      admission: gate.counts() as unknown as JsonValue,
-      retryBudget: entry.retryBudget.saved,
-      backoffs: entry.backoffs.list() as unknown as JsonValue,
-      limits: entry.limits.describe(),
+      admission: admissionControl.counts() as unknown as JsonValue,
+      retryBudget: entryContext.retryBudget.saved,
+      backoffs: entryContext.backoffs.list() as unknown as JsonValue,
+      limits: entryContext.limits.describe(),
       sessions: sessions.size,
       control: describeControl(),
       memory: {
@@ -127,9 +127,9 @@
       await mirror.start();
       directorySync.start();
       replication.start();
-      sweepTimer = setInterval(() => entry.limits.sweep(), SWEEP_INTERVAL_MS);
+      sweepTimer = setInterval(() => entryContext.limits.sweep(), SWEEP_INTERVAL_MS);
       server = await listenForCallers({
-        context: entry,
+        context: entryContext,
         completions,
         operators,
         dump: describe,
@@ -138,18 +138,18 @@
     async drain() {
       isShuttingDown = true;
       await directorySync.leave();
-      while (gate.running + gate.waiting > 0) await delay(DRAIN_POLL_MS);
+      while (admissionControl.running + admissionControl.waiting > 0) await delay(DRAIN_POLL_MS);
       await replication.flush();
     },
     async stop() {
-      const cut = gate.running + gate.waiting;
+      const abortedRequests = admissionControl.running + admissionControl.waiting;
       isShuttingDown = true;
       mirror.stop();
       directorySync.stop();
       replication.stop();
       clearInterval(sweepTimer);
       if (server) await closeServer(server, true);
-      return cut;
+      return abortedRequests;
     },
     describe,
     settingsVersion: () => mirror.version,
--- a/packages/entry/src/sessions/stageProbe.ts
+++ b/packages/entry/src/sessions/stageProbe.ts
@@ -1,11 +1,11 @@
-/** Asks the stages of a chain whether they are there. */
+/** Probes whether the stages of a chain respond. */
 import { callHttp } from '@spoolplank/node';
 import type { ChainStage } from '@spoolplank/routing';
 
 const PROBE_TIMEOUT_MS = 200;
 const PROBE_PATH = '/totals';
 
-async function isAnswering(stage: ChainStage): Promise<boolean> {
+async function respondsToProbe(stage: ChainStage): Promise<boolean> {
   try {
     const answer = await callHttp({
       endpoint: stage,
@@ -19,10 +19,10 @@
   }
 }
 
-/** The stages that give no answer. */
+/** Returns the stages that do not answer a probe in time. */
 export async function findSilentStages(
   stages: readonly ChainStage[],
 ): Promise<readonly ChainStage[]> {
-  const answers = await Promise.all(stages.map(isAnswering));
+  const answers = await Promise.all(stages.map(respondsToProbe));
   return stages.filter((_stage, index) => !answers[index]);
 }
