--- a/packages/node/__tests__/peerRpc.spec.ts
+++ b/packages/node/__tests__/peerRpc.spec.ts
@@ -7,7 +7,7 @@
 
 const KEY = 'a key of sixteen or more';
 
-describe('peer rpc', () => {
+describe('RPC between VMs', () => {
   let server: Server;
   const refusals: string[] = [];
   const senders: string[] = [];
@@ -48,12 +48,12 @@
     await closeServer(server, true);
   });
 
-  it('answers a peer of the deployment, and knows who it is', async () => {
+  it('answers a peer of the deployment, and identifies it', async () => {
     assert.deepEqual(await createClient('d', KEY).call(target(), 'echo', { a: 1 }), { a: 1 });
     assert.deepEqual(senders, ['vm1']);
   });
 
-  it('carries an error with its code, outcome and time', async () => {
+  it('carries an error with its code, outcome and retry delay', async () => {
     await assert.rejects(createClient('d', KEY).call(target(), 'fail', {}), {
       code: 'overloaded',
       outcome: 'not-run',
@@ -62,25 +62,25 @@
   });
 
   it('refuses and counts messages with another key, of another deployment, and for another VM', async () => {
-    const wrong = [
+    const rejectedCalls = [
       () => createClient('d', 'another key, also long').call(target(), 'echo', {}),
       () => createClient('e', KEY).call(target(), 'echo', {}),
       () => createClient('d', KEY).call(target('vm3'), 'echo', {}),
     ];
-    for (const call of wrong) await assert.rejects(call, { code: 'wrong-deployment' });
+    for (const call of rejectedCalls) await assert.rejects(call, { code: 'wrong-deployment' });
     assert.equal(refusals.filter((code) => code === 'wrong-deployment').length, 3);
-    assert.equal(senders.length, 1, 'no method was run');
+    assert.equal(senders.length, 1, 'no method ran for a refused message');
   });
 
-  it('says of a peer that is not there that nothing was run', async () => {
-    const nobody = { vmId: 'vm2', host: '127.0.0.1', port: 1 };
-    await assert.rejects(createClient('d', KEY).call(nobody, 'echo', {}), {
+  it('reports an unreachable peer as an error with the outcome not-run', async () => {
+    const closedPortTarget = { vmId: 'vm2', host: '127.0.0.1', port: 1 };
+    await assert.rejects(createClient('d', KEY).call(closedPortTarget, 'echo', {}), {
       code: 'unreachable',
       outcome: 'not-run',
     });
   });
 
-  it('refuses a body that was changed on its way, and one that is no request', async () => {
+  it('refuses a request without a valid signature, and one that is not JSON', async () => {
     const post = (body: string) =>
       callHttp({
         endpoint: target(),
--- a/packages/node/__tests__/resetDetection.spec.ts
+++ b/packages/node/__tests__/resetDetection.spec.ts
@@ -4,13 +4,16 @@
 import { createServer } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
 import { finished } from 'node:stream/promises';
-import { setImmediate as nextTurn } from 'node:timers/promises';
+import { setImmediate as nextImmediate } from 'node:timers/promises';
 import { Worker } from 'node:worker_threads';
 import { describe, it } from 'node:test';
 import { detectReset } from '../src/resetDetection';
 
-/** Answers one request without a length, then ends the connection in the way given. */
-async function readAnswer(
+/**
+ * Sends a request to a server that responds without a length and then ends the connection in the
+ * given way; returns whether the client takes the response for complete.
+ */
+async function readResponse(
   endConnection: (socket: Socket) => void,
   delayMs: number,
 ): Promise<string> {
@@ -37,7 +40,7 @@
     });
     response.resume();
     await finished(response, { writable: false });
-    return 'whole';
+    return 'complete';
   } catch {
     return 'broken';
   } finally {
@@ -45,8 +48,8 @@
   }
 }
 
-/** A server on a thread of its own: it writes a part, and ends the connection 1 ms later. */
-const THREAD = `
+/** A server in a worker thread: it writes part of a response and ends the connection 1 ms later. */
+const SERVER_THREAD_SOURCE = `
   const { createServer } = require('node:net');
   const { parentPort, workerData } = require('node:worker_threads');
   const server = createServer((socket) => {
@@ -58,12 +61,12 @@
   });
   server.listen(0, '127.0.0.1', () => parentPort.postMessage(server.address().port));
 `;
-/** Longer than the server takes for all of it, also beside other work. */
-const BUSY_MS = 60;
+/** How long the client blocks its event loop: longer than the server needs, also under load. */
+const BLOCKED_MS = 60;
 
-/** Reads an answer whose bytes and whose end are all there when this process comes to read. */
-async function readLate(ending: 'end' | 'resetAndDestroy'): Promise<string> {
-  const worker = new Worker(THREAD, { eval: true, workerData: ending });
+/** Reads a response after its data and the end of its connection have both arrived. */
+async function readAfterArrival(ending: 'end' | 'resetAndDestroy'): Promise<string> {
+  const worker = new Worker(SERVER_THREAD_SOURCE, { eval: true, workerData: ending });
   const port = await new Promise<number>((resolve) => {
     worker.once('message', resolve);
   });
@@ -78,15 +81,15 @@
       });
       call.end();
       call.once('finish', () => {
-        void nextTurn().then(() => {
-          const endsAtMs = performance.now() + BUSY_MS;
+        void nextImmediate().then(() => {
+          const endsAtMs = performance.now() + BLOCKED_MS;
           while (performance.now() < endsAtMs);
         });
       });
     });
     response.resume();
     await finished(response, { writable: false });
-    return 'whole';
+    return 'complete';
   } catch {
     return 'broken';
   } finally {
@@ -94,27 +97,27 @@
   }
 }
 
-describe('an answer that is all there before it is read', () => {
+describe('a response that has arrived completely before it is read', () => {
   it('is broken when its connection was reset', async () => {
-    assert.equal(await readLate('resetAndDestroy'), 'broken');
+    assert.equal(await readAfterArrival('resetAndDestroy'), 'broken');
   });
 
-  it('is whole when its connection was closed in order', async () => {
-    assert.equal(await readLate('end'), 'whole');
+  it('is complete when its connection was closed normally', async () => {
+    assert.equal(await readAfterArrival('end'), 'complete');
   });
 });
 
-describe('an answer that ends with its connection', () => {
-  // About a millisecond, the bytes and the reset are often read in one go.
+describe('a response that ends with its connection', () => {
+  // With a delay of about 1 ms, the data and the reset are often read together.
   [0, 1, 1, 1, 2, 3, 20].forEach((delayMs, index) => {
-    it(`is broken when that is reset after ${delayMs} ms (${index})`, async () => {
-      assert.equal(await readAnswer((socket) => socket.resetAndDestroy(), delayMs), 'broken');
+    it(`is broken when the connection is reset after ${delayMs} ms (${index})`, async () => {
+      assert.equal(await readResponse((socket) => socket.resetAndDestroy(), delayMs), 'broken');
     });
   });
 
   [0, 1, 20].forEach((delayMs) => {
-    it(`is whole when that is closed in order after ${delayMs} ms`, async () => {
-      assert.equal(await readAnswer((socket) => socket.end(), delayMs), 'whole');
+    it(`is complete when the connection is closed normally after ${delayMs} ms`, async () => {
+      assert.equal(await readResponse((socket) => socket.end(), delayMs), 'complete');
     });
   });
 });
--- a/packages/node/__tests__/storage.spec.ts
+++ b/packages/node/__tests__/storage.spec.ts
@@ -24,7 +24,7 @@
   return folder;
 }
 
-function entries(from: number, to: number, term = 1): LogEntry[] {
+function createEntries(from: number, to: number, term = 1): LogEntry[] {
   return Array.from({ length: to - from + 1 }, (_unused, offset) => ({
     index: from + offset,
     term,
@@ -37,29 +37,29 @@
 after(() => folders.forEach((folder) => rmSync(folder, { recursive: true, force: true })));
 
 describe('record file', () => {
-  const whole = Buffer.concat(
+  const completeFile = Buffer.concat(
     ['one', 'two', 'three'].map((text) => encodeRecord(JSON.stringify(text))),
   );
 
-  it('cuts a last record that was not finished, wherever it was cut', () => {
-    const second = encodeRecord('"one"').length + encodeRecord('"two"').length;
-    for (let length = second; length < whole.length; length += 1) {
-      assert.deepEqual(decodeRecords(whole.subarray(0, length), 'f'), {
+  it('ignores an incomplete last record, wherever it was cut', () => {
+    const endOfSecondRecord = encodeRecord('"one"').length + encodeRecord('"two"').length;
+    for (let length = endOfSecondRecord; length < completeFile.length; length += 1) {
+      assert.deepEqual(decodeRecords(completeFile.subarray(0, length), 'f'), {
         payloads: ['"one"', '"two"'],
-        wholeBytes: second,
+        validBytes: endOfSecondRecord,
       });
     }
   });
 
-  it('cuts a tail of zeros, space that was reserved but never written', () => {
-    const padded = Buffer.concat([whole, Buffer.alloc(100)]);
-    assert.equal(decodeRecords(padded, 'f').wholeBytes, whole.length);
+  it('ignores zeros at the end, in space that was allocated but never written', () => {
+    const padded = Buffer.concat([completeFile, Buffer.alloc(100)]);
+    assert.equal(decodeRecords(padded, 'f').validBytes, completeFile.length);
   });
 
-  it('refuses a flipped bit anywhere, and says where', () => {
+  it('reports a flipped bit anywhere, with its offset', () => {
     const random = createSeededRandom(3);
-    for (let byte = 0; byte < whole.length; byte += 1) {
-      const damaged = Buffer.from(whole);
+    for (let byte = 0; byte < completeFile.length; byte += 1) {
+      const damaged = Buffer.from(completeFile);
       damaged.writeUInt8(damaged.readUInt8(byte) ^ (1 << random.nextInt(8)), byte);
       assert.throws(
         () => decodeRecords(damaged, 'f'),
@@ -71,50 +71,50 @@
 });
 
 describe('file storage', () => {
-  it('gives back after a restart what was saved', async () => {
+  it('returns after a restart what was saved', async () => {
     const folder = createFolder();
     const first = createFileStorage({ folder });
     await first.load();
-    await first.save({ hardState: { term: 3, votedFor: 'a' }, entries: entries(1, 5) });
-    await first.save({ hardState: null, entries: entries(4, 4, 2) });
+    await first.save({ hardState: { term: 3, votedFor: 'a' }, entries: createEntries(1, 5) });
+    await first.save({ hardState: null, entries: createEntries(4, 4, 2) });
     const loaded = await createFileStorage({ folder }).load();
     assert.deepEqual(loaded.hardState, { term: 3, votedFor: 'a' });
-    assert.deepEqual(loaded.entries, [...entries(1, 3), ...entries(4, 4, 2)]);
+    assert.deepEqual(loaded.entries, [...createEntries(1, 3), ...createEntries(4, 4, 2)]);
   });
 
-  it('keeps the entries after a snapshot, and the snapshot', async () => {
+  it('keeps the snapshot and the entries after it', async () => {
     const folder = createFolder();
     const first = createFileStorage({ folder });
     await first.load();
-    await first.save({ hardState: null, entries: entries(1, 6) });
+    await first.save({ hardState: null, entries: createEntries(1, 6) });
     await first.saveSnapshot(META, '{"some":"state"}', { index: 2, term: 1 });
-    await first.save({ hardState: null, entries: entries(7, 7) });
+    await first.save({ hardState: null, entries: createEntries(7, 7) });
     const second = createFileStorage({ folder });
     const loaded = await second.load();
     assert.deepEqual(loaded.snapshot, META);
     assert.deepEqual(loaded.base, { index: 2, term: 1 });
-    assert.deepEqual(loaded.entries, entries(3, 7));
+    assert.deepEqual(loaded.entries, createEntries(3, 7));
     assert.equal(await second.readSnapshot(), '{"some":"state"}');
   });
 
-  it('starts again from a torn log, without the entry that was never saved', async () => {
+  it('recovers from a torn log without the entry that was not saved completely', async () => {
     const folder = createFolder();
     const first = createFileStorage({ folder });
     await first.load();
-    await first.save({ hardState: null, entries: entries(1, 3) });
+    await first.save({ hardState: null, entries: createEntries(1, 3) });
     const path = join(folder, 'log');
     truncateSync(path, readFileSync(path).length - 5);
     const second = createFileStorage({ folder });
-    assert.deepEqual((await second.load()).entries, entries(1, 2));
-    await second.save({ hardState: null, entries: entries(3, 3) });
-    assert.deepEqual((await createFileStorage({ folder }).load()).entries, entries(1, 3));
+    assert.deepEqual((await second.load()).entries, createEntries(1, 2));
+    await second.save({ hardState: null, entries: createEntries(3, 3) });
+    assert.deepEqual((await createFileStorage({ folder }).load()).entries, createEntries(1, 3));
   });
 
-  it('refuses to start on damage before the end, and says where', async () => {
+  it('refuses to start when a record before the end is damaged, and reports its offset', async () => {
     const folder = createFolder();
     const first = createFileStorage({ folder });
     await first.load();
-    await first.save({ hardState: null, entries: entries(1, 3) });
+    await first.save({ hardState: null, entries: createEntries(1, 3) });
     const path = join(folder, 'log');
     const bytes = readFileSync(path);
     bytes.writeUInt8(bytes.readUInt8(40) ^ 4, 40);
@@ -125,11 +125,11 @@
     });
   });
 
-  it('refuses to start without the snapshot that its log builds on', async () => {
+  it('refuses to start without the snapshot that its log is based on', async () => {
     const folder = createFolder();
     const first = createFileStorage({ folder });
     await first.load();
-    await first.save({ hardState: null, entries: entries(1, 6) });
+    await first.save({ hardState: null, entries: createEntries(1, 6) });
     await first.saveSnapshot(META, '{}', { index: 4, term: 1 });
     rmSync(join(folder, 'snapshot'));
     await assert.rejects(createFileStorage({ folder }).load(), {
@@ -138,7 +138,7 @@
     });
   });
 
-  it('takes back a write that did not fit, and goes on when there is room', async () => {
+  it('removes a partial write to a full disk, and continues when there is space', async () => {
     const folder = createFolder();
     let isFull = false;
     const openLog = async (path: string): Promise<FileHandle> => {
@@ -153,20 +153,20 @@
     };
     const storage = createFileStorage({ folder, openLog });
     await storage.load();
-    await storage.save({ hardState: null, entries: entries(1, 1) });
+    await storage.save({ hardState: null, entries: createEntries(1, 1) });
     isFull = true;
     await assert.rejects(
-      storage.save({ hardState: null, entries: entries(2, 2) }),
+      storage.save({ hardState: null, entries: createEntries(2, 2) }),
       (error) => error instanceof SpoolplankError && error.code === 'storage-full',
     );
     isFull = false;
-    await storage.save({ hardState: null, entries: entries(2, 2) });
-    assert.deepEqual((await createFileStorage({ folder }).load()).entries, entries(1, 2));
+    await storage.save({ hardState: null, entries: createEntries(2, 2) });
+    assert.deepEqual((await createFileStorage({ folder }).load()).entries, createEntries(1, 2));
   });
 });
 
 describe('identity of a data folder', () => {
-  it('lasts as long as the folder, and differs after it was lost', async () => {
+  it('is kept with the folder, and differs after the folder was lost', async () => {
     const folder = createFolder();
     const first = await loadIdentity(folder, 'vm1');
     assert.equal(await loadIdentity(folder, 'vm1'), first);
@@ -174,7 +174,7 @@
     assert.notEqual(await loadIdentity(folder, 'vm1'), first);
   });
 
-  it('is refused to another VM', async () => {
+  it('is refused when the folder belongs to another VM', async () => {
     const folder = createFolder();
     await loadIdentity(folder, 'vm1');
     await assert.rejects(loadIdentity(folder, 'vm2'), { code: 'storage-damaged' });
--- a/packages/node/src/dataFolder.ts
+++ b/packages/node/src/dataFolder.ts
@@ -1,4 +1,7 @@
-/** Files that last: written aside, synced, renamed, and the folder synced too. */
+/**
+ * Durable file operations: a file is written under a temporary name, synced and renamed, and then
+ * its folder is synced.
+ */
 import { open, mkdir, readFile, rename, rm } from 'node:fs/promises';
 import { randomUUID } from 'node:crypto';
 import { dirname, join } from 'node:path';
@@ -8,18 +11,18 @@
   readonly code?: string;
 }
 
-const FULL_CODES: ReadonlySet<string> = new Set(['ENOSPC', 'EDQUOT', 'EFBIG']);
+const DISK_FULL_CODES: ReadonlySet<string> = new Set(['ENOSPC', 'EDQUOT', 'EFBIG']);
 
-/** Turns an error of the file system into one that says what to do about it. */
+/** Converts a file system error that means a full disk into `storage-full`. */
 export function toStorageError(error: unknown, path: string): unknown {
   const code = (error as SystemError | null)?.code;
-  if (code !== undefined && FULL_CODES.has(code)) {
+  if (code !== undefined && DISK_FULL_CODES.has(code)) {
     return new SpoolplankError('storage-full', { detail: `${path}: ${code}`, cause: error });
   }
   return error;
 }
 
-/** Makes the names in a folder last. */
+/** Syncs a folder, so that created and renamed entries survive a power loss. */
 export async function syncFolder(folder: string): Promise<void> {
   const handle = await open(folder, 'r');
   try {
@@ -29,26 +32,26 @@
   }
 }
 
-/** Replaces a file as a whole: after a loss of power it is either the old or the new one. */
+/** Replaces a file atomically: after a power loss, it has either the old or the new content. */
 export async function replaceFile(path: string, data: Buffer | string): Promise<void> {
-  const aside = `${path}.tmp`;
+  const temporaryPath = `${path}.tmp`;
   try {
-    const handle = await open(aside, 'w');
+    const handle = await open(temporaryPath, 'w');
     try {
       await handle.writeFile(data);
       await handle.sync();
     } finally {
       await handle.close();
     }
-    await rename(aside, path);
+    await rename(temporaryPath, path);
     await syncFolder(dirname(path));
   } catch (error) {
-    await rm(aside, { force: true });
+    await rm(temporaryPath, { force: true });
     throw toStorageError(error, path);
   }
 }
 
-/** Reads a file; null when there is none. */
+/** Reads a file; null when it does not exist. */
 export async function readFileIfAny(path: string): Promise<Buffer | null> {
   try {
     return await readFile(path);
@@ -58,7 +61,10 @@
   }
 }
 
-/** Renames a folder beside itself, so that nothing in it is used any more; none is no error. */
+/**
+ * Renames a folder to a unique name within its parent, so that its content is no longer used. A
+ * folder that does not exist is not an error.
+ */
 export async function setAsideFolder(folder: string, name: string): Promise<void> {
   const parent = dirname(folder);
   try {
@@ -72,8 +78,8 @@
 const IDENTITY_FILE = 'identity.json';
 
 /**
- * The identity of this life of a data folder: made once, and lost with the folder. A folder
- * that comes back blank gets another one.
+ * Loads the replica id of a data folder, or creates it on first use. The id is lost with the
+ * folder: a VM whose data folder was wiped gets a new one.
  */
 export async function loadIdentity(folder: string, vmId: string): Promise<string> {
   await mkdir(folder, { recursive: true });
@@ -96,7 +102,7 @@
   return replicaId;
 }
 
-/** Has the folder begin another life: the next start makes a new identity. */
+/** Deletes the replica id of a data folder; the next start creates a new one. */
 export async function forgetIdentity(folder: string): Promise<void> {
   await rm(join(folder, IDENTITY_FILE), { force: true });
   await syncFolder(folder);
--- a/packages/node/src/fileStorage.ts
+++ b/packages/node/src/fileStorage.ts
@@ -1,4 +1,4 @@
-/** Storage of one replica in a folder: a log of records and the newest snapshot. */
+/** Persistent storage of one replica: a log file and the latest snapshot, in one folder. */
 import { mkdir, open, readdir, rm } from 'node:fs/promises';
 import type { FileHandle } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -26,9 +26,9 @@
 
 export interface FileStorageOptions {
   readonly folder: string;
-  /** Whether to wait for the disk; only a measurement of what that costs turns it off. */
+  /** Whether each write is synced to disk. Only benchmarks that measure the cost turn it off. */
   readonly isSynced?: boolean;
-  /** Opens the log for appending; replaced by tests that make a disk fail. */
+  /** Opens the log for appending; tests replace it to simulate disk errors. */
   readonly openLog?: (path: string) => Promise<FileHandle>;
 }
 
@@ -39,9 +39,9 @@
   entries: LogEntry[];
 }
 
-type Replay = (state: MutableState, record: never) => void;
+type ApplyRecord = (state: MutableState, record: never) => void;
 
-const REPLAYS: Readonly<Record<LogRecord['kind'], Replay>> = {
+const RECORD_APPLIERS: Readonly<Record<LogRecord['kind'], ApplyRecord>> = {
   base(state, { base }: Extract<LogRecord, { kind: 'base' }>) {
     state.base = base;
     state.entries = [];
@@ -63,44 +63,44 @@
   return entries.map((entry) => ({ kind: 'entry', entry }));
 }
 
-/** Opens the storage of a replica in a folder of its own. */
+/** Creates the storage of a replica in a folder that it has to itself. */
 export function createFileStorage(options: FileStorageOptions): ReplicaStorage {
   const { folder, isSynced = true, openLog = (path: string) => open(path, 'a') } = options;
   const logPath = join(folder, LOG_FILE);
   const snapshotPath = join(folder, SNAPSHOT_FILE);
   const state: MutableState = { ...BLANK_STATE, entries: [] };
   let handle: FileHandle | null = null;
-  let writtenBytes = 0;
+  let logBytes = 0;
 
-  async function reopen(): Promise<FileHandle> {
+  async function ensureLogOpen(): Promise<FileHandle> {
     handle ??= await openLog(logPath);
     return handle;
   }
 
-  /** Takes back what a failed write left, so that the file ends with a whole record. */
-  async function cutLog(): Promise<void> {
-    const cut = await open(logPath, 'r+');
-    await cut.truncate(writtenBytes);
-    await cut.sync();
-    await cut.close();
+  /** Removes the bytes of a failed write, so that the log ends with a complete record. */
+  async function truncateLog(): Promise<void> {
+    const file = await open(logPath, 'r+');
+    await file.truncate(logBytes);
+    await file.sync();
+    await file.close();
   }
 
   async function appendRecords(records: readonly LogRecord[]): Promise<void> {
     const bytes = encodeAll(records);
     try {
-      const log = await reopen();
+      const log = await ensureLogOpen();
       await log.writeFile(bytes);
       if (isSynced) await log.datasync();
-      writtenBytes += bytes.length;
+      logBytes += bytes.length;
     } catch (error) {
       await handle?.close();
       handle = null;
-      await cutLog();
+      await truncateLog();
       throw toStorageError(error, logPath);
     }
   }
 
-  /** Writes the log anew, without what the snapshot holds. */
+  /** Rewrites the log without the entries up to its base. */
   async function rewriteLog(): Promise<void> {
     const { base, hardState, entries } = state;
     const bytes = encodeAll([
@@ -111,7 +111,7 @@
     await replaceFile(logPath, bytes);
     await handle?.close();
     handle = null;
-    writtenBytes = bytes.length;
+    logBytes = bytes.length;
   }
 
   async function writeSnapshot(meta: SnapshotMeta, data: string): Promise<void> {
@@ -126,7 +126,7 @@
     const { payloads } = decodeRecords(bytes, snapshotPath);
     if (payloads.length !== 2) {
       throw new SpoolplankError('storage-damaged', {
-        detail: `${snapshotPath} at byte ${bytes.length}: ends early`,
+        detail: `${snapshotPath} at byte ${bytes.length}: not exactly two records`,
       });
     }
     return payloads;
@@ -138,15 +138,18 @@
       await replaceFile(logPath, '');
       return;
     }
-    const { payloads, wholeBytes } = decodeRecords(bytes, logPath);
+    const { payloads, validBytes } = decodeRecords(bytes, logPath);
     payloads
       .map((payload) => JSON.parse(payload) as LogRecord)
-      .forEach((record) => REPLAYS[record.kind](state, record as never));
-    writtenBytes = wholeBytes;
-    if (wholeBytes < bytes.length) await cutLog();
+      .forEach((record) => RECORD_APPLIERS[record.kind](state, record as never));
+    logBytes = validBytes;
+    if (validBytes < bytes.length) await truncateLog();
   }
 
-  /** A snapshot from the leader may be newer than a log that was not rewritten in time. */
+  /**
+   * Resets a log that ends before the snapshot: the process may stop after it wrote a snapshot from
+   * the leader and before it rewrote the log.
+   */
   function alignWithSnapshot(): void {
     const { snapshot, base, entries } = state;
     if (!snapshot || base.index + entries.length >= snapshot.index) return;
@@ -158,7 +161,7 @@
     state.entries.forEach(({ index }, position) => {
       if (index !== state.base.index + position + 1) {
         throw new SpoolplankError('storage-damaged', {
-          detail: `${logPath}: entry ${index} is out of place`,
+          detail: `${logPath}: entry ${index} is out of sequence`,
         });
       }
     });
@@ -193,7 +196,7 @@
       const records: LogRecord[] = hardState ? [{ kind: 'hard-state', hardState }] : [];
       records.push(...toRecords(entries));
       await appendRecords(records);
-      records.forEach((record) => REPLAYS[record.kind](state, record as never));
+      records.forEach((record) => RECORD_APPLIERS[record.kind](state, record as never));
     },
     async saveSnapshot(meta, data, base) {
       await writeSnapshot(meta, data);
--- a/packages/node/src/httpClient.ts
+++ b/packages/node/src/httpClient.ts
@@ -1,4 +1,4 @@
-/** The client side of HTTP, on kept-alive connections. */
+/** HTTP client on keep-alive connections. */
 import { Agent, request as startRequest } from 'node:http';
 import type { IncomingHttpHeaders, IncomingMessage } from 'node:http';
 import { SpoolplankError } from '@spoolplank/shared';
@@ -9,10 +9,10 @@
   readonly port: number;
 }
 
-/** Reads an address of the form host:port. */
+/** Parses an address of the form host:port. */
 export function parseAddress(address: string): Endpoint {
-  const at = address.lastIndexOf(':');
-  return { host: address.slice(0, at), port: Number(address.slice(at + 1)) };
+  const separator = address.lastIndexOf(':');
+  return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 }
 
 export interface HttpCallOptions {
@@ -21,11 +21,11 @@
   readonly path: string;
   readonly headers?: Readonly<Record<string, string | readonly string[]>>;
   readonly body?: Buffer | string;
-  /** Time until the response headers. */
+  /** Maximum time until the response headers arrive. */
   readonly timeoutMs?: number;
   readonly agent?: Agent;
   readonly signal?: AbortSignal;
-  /** Called once the first byte of the request may have left. */
+  /** Called when the connection is open: from then on, bytes of the request may have been sent. */
   readonly onMaySend?: () => void;
 }
 
@@ -38,7 +38,7 @@
 const DEFAULT_TIMEOUT_MS = 10_000;
 const MAX_FREE_SOCKETS = 64;
 
-/** Creates a pool of kept-alive connections. */
+/** Creates a pool of keep-alive connections. */
 export function createAgent(maxSockets = Number.POSITIVE_INFINITY): Agent {
   return new Agent({
     keepAlive: true,
@@ -51,16 +51,16 @@
 const SHARED_AGENT = createAgent();
 
 /**
- * Sends a request and resolves with the response once its headers are there.
+ * Sends a request and resolves with the response once its headers have arrived.
  *
- * @throws SpoolplankError `unreachable`; its outcome is `not-run` when the connection was
- * never made.
+ * @throws SpoolplankError `unreachable`; its outcome is `not-run` if no connection was
+ * established, else `unknown`.
  */
 export function openCall(options: HttpCallOptions): Promise<IncomingMessage> {
   const { endpoint, method, path, headers, body, timeoutMs = DEFAULT_TIMEOUT_MS, signal } = options;
   return new Promise((resolve, reject) => {
     let maySend = false;
-    const call = startRequest({
+    const clientRequest = startRequest({
       host: endpoint.host,
       port: endpoint.port,
       method,
@@ -72,19 +72,19 @@
       agent: options.agent ?? SHARED_AGENT,
       signal,
     });
-    const recordSend = () => {
+    const markMaySend = () => {
       maySend = true;
       options.onMaySend?.();
     };
     const timer = setTimeout(
-      () => call.destroy(new Error(`no answer within ${timeoutMs} ms`)),
+      () => clientRequest.destroy(new Error(`no answer within ${timeoutMs} ms`)),
       timeoutMs,
     );
-    call.on('socket', (socket) => {
-      if (socket.connecting) socket.once('connect', recordSend);
-      else recordSend();
+    clientRequest.on('socket', (socket) => {
+      if (socket.connecting) socket.once('connect', markMaySend);
+      else markMaySend();
     });
-    call.on('error', (error) => {
+    clientRequest.on('error', (error) => {
       clearTimeout(timer);
       reject(
         new SpoolplankError('unreachable', {
@@ -94,15 +94,19 @@
         }),
       );
     });
-    call.on('response', (response) => {
+    clientRequest.on('response', (response) => {
       clearTimeout(timer);
       resolve(response);
     });
-    call.end(body);
+    clientRequest.end(body);
   });
 }
 
-/** Sends a request and resolves with the whole answer. */
+/**
+ * Sends a request and resolves with the complete response.
+ *
+ * @throws SpoolplankError `unreachable`, also when the connection ends before the body is complete.
+ */
 export async function callHttp(options: HttpCallOptions): Promise<HttpAnswer> {
   const response = await openCall(options);
   const chunks: Buffer[] = [];
@@ -120,12 +124,12 @@
   };
 }
 
-/** An answer whose body is JSON; null where it has none. */
+/** A response with a JSON body; `json` is null when the body is empty. */
 export interface JsonAnswer extends Omit<HttpAnswer, 'body'> {
   readonly json: JsonValue;
 }
 
-/** Sends JSON and resolves with the JSON of the answer, its status and its headers. */
+/** Sends a JSON request and resolves with the parsed response. */
 export async function callJson(
   options: Omit<HttpCallOptions, 'body'> & { readonly json?: unknown },
 ): Promise<JsonAnswer> {
--- a/packages/node/src/httpServer.ts
+++ b/packages/node/src/httpServer.ts
@@ -1,4 +1,4 @@
-/** HTTP servers and the reading of request bodies. */
+/** HTTP servers, request parsing and JSON responses. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, RequestListener, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -9,7 +9,7 @@
   readonly host: string;
   readonly port: number;
   readonly onRequest: RequestListener;
-  /** How long a client may take over its headers. */
+  /** Maximum time in which a client has to send its request headers. */
   readonly headersTimeoutMs?: number;
   readonly keepAliveTimeoutMs?: number;
   readonly maxHeaderBytes?: number;
@@ -18,14 +18,14 @@
 const DEFAULT_HEADERS_TIMEOUT_MS = 10_000;
 const DEFAULT_KEEP_ALIVE_TIMEOUT_MS = 30_000;
 const DEFAULT_MAX_HEADER_BYTES = 16_384;
-const RETRY_AFTER_STEP_MS = 1000;
+const MS_PER_S = 1000;
 
-/** Starts a server and resolves once it listens. */
+/** Starts a server and resolves once it is listening. */
 export function listen(options: HttpServerOptions): Promise<Server> {
   const server = createServer(
     {
       maxHeaderSize: options.maxHeaderBytes ?? DEFAULT_MAX_HEADER_BYTES,
-      // Sessions last for hours: only the headers have a time limit here.
+      // Sessions last for hours, so only the headers are subject to a time-out.
       requestTimeout: 0,
       headersTimeout: options.headersTimeoutMs ?? DEFAULT_HEADERS_TIMEOUT_MS,
       keepAliveTimeout: options.keepAliveTimeoutMs ?? DEFAULT_KEEP_ALIVE_TIMEOUT_MS,
@@ -39,24 +39,25 @@
   });
 }
 
-/** The port a server listens on. */
+/** Returns the port that a server listens on. */
 export function portOf(server: Server): number {
   return (server.address() as AddressInfo).port;
 }
 
-/** Stops listening; resolves when the last connection has ended or was cut. */
-export function closeServer(server: Server, isCut = false): Promise<void> {
+/** Stops listening; resolves when every connection has ended, or at once if they are dropped. */
+export function closeServer(server: Server, dropsConnections = false): Promise<void> {
   return new Promise((resolve) => {
     server.close(() => resolve());
-    if (isCut) server.closeAllConnections();
+    if (dropsConnections) server.closeAllConnections();
     else server.closeIdleConnections();
   });
 }
 
 /**
- * Reads a body whole.
+ * Reads the complete body of a request.
  *
- * @throws SpoolplankError `body-too-large`, before more than the limit was kept.
+ * @throws SpoolplankError `body-too-large` as soon as the limit is exceeded, `bad-request` when the
+ * body is incomplete.
  */
 export async function readBody(request: IncomingMessage, maxBytes: number): Promise<Buffer> {
   const declaredBytes = Number(request.headers['content-length'] ?? 0);
@@ -82,7 +83,7 @@
 /**
  * Parses a JSON body.
  *
- * @throws SpoolplankError `bad-request` with the parser's own message.
+ * @throws SpoolplankError `bad-request` with the message of the JSON parser.
  */
 export function parseJsonBody(body: Buffer): JsonValue {
   try {
@@ -96,7 +97,7 @@
   }
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response, unless headers were sent already or the connection is closed. */
 export function sendJson(
   response: ServerResponse,
   status: number,
@@ -113,7 +114,7 @@
   response.end(body);
 }
 
-/** Answers with an error: the one place where errors become HTTP. */
+/** Sends an error response. Every error is converted to HTTP here. */
 export function sendError(
   response: ServerResponse,
   thrown: unknown,
@@ -122,20 +123,18 @@
   const error = toSpoolplankError(thrown);
   const headers: Record<string, string> = {};
   if (error.retryAfterMs !== undefined) {
-    headers['retry-after'] = String(
-      Math.max(1, Math.ceil(error.retryAfterMs / RETRY_AFTER_STEP_MS)),
-    );
+    headers['retry-after'] = String(Math.max(1, Math.ceil(error.retryAfterMs / MS_PER_S)));
   }
-  // Bytes of a refused body may still be on their way; the connection cannot be used again.
+  // Unread bytes of the body may still arrive, so the connection cannot be reused.
   if (error.code === 'body-too-large' || error.code === 'bad-request') headers.connection = 'close';
   sendJson(response, error.httpStatus, toErrorBody(error, addresses), headers);
   return error;
 }
 
 /**
- * The path and query of a request.
+ * Parses the path and query of a request.
  *
- * @throws SpoolplankError `bad-request` for what is neither.
+ * @throws SpoolplankError `bad-request` when they are malformed.
  */
 export function readUrl(request: IncomingMessage): URL {
   try {
@@ -145,7 +144,11 @@
   }
 }
 
-/** A header that may stand once; more than once is refused, as no one can say which counts. */
+/**
+ * Reads a header that may occur only once.
+ *
+ * @throws SpoolplankError `invalid-header` for a repeated header, as it is ambiguous.
+ */
 export function readSingleHeader(request: IncomingMessage, name: string): string | undefined {
   const values = request.headersDistinct[name];
   if (values && values.length > 1) {
@@ -154,7 +157,7 @@
   return values?.[0];
 }
 
-/** The token of an `Authorization: Bearer` header; empty when there is none. */
+/** Reads the token of an `Authorization: Bearer` header; empty when there is none. */
 export function readBearerToken(request: IncomingMessage): string {
   const match = /^Bearer ([\x21-\x7e]+)$/i.exec(readSingleHeader(request, 'authorization') ?? '');
   return match?.[1] ?? '';
--- a/packages/node/src/lineLog.ts
+++ b/packages/node/src/lineLog.ts
@@ -1,6 +1,6 @@
 /**
- * Logs: JSON lines on standard output, one for each decision. Bounded in rate and memory, and
- * never waited for: a reader that stops reading costs lines, not requests.
+ * Structured event log: JSON lines on standard output. Rate and memory are bounded, and logging
+ * never blocks: when the reader of the output stalls, lines are dropped and no request is delayed.
  */
 import { write } from 'node:fs';
 import type { Clock } from '@spoolplank/shared';
@@ -16,11 +16,11 @@
   info(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
   error(event: string, fields?: LogFields): void;
-  /** Writes what is waiting; for the end of a process. */
+  /** Writes all buffered lines; called before the process ends. */
   flush(): Promise<void>;
 }
 
-/** Writes a chunk and reports how many bytes were taken; replaced by tests. */
+/** Writes a chunk and reports the number of bytes written; tests replace it. */
 export type ChunkWriter = (
   chunk: Buffer,
   done: (error: NodeJS.ErrnoException | null, writtenBytes: number) => void,
@@ -30,8 +30,11 @@
   readonly vmId: string;
   readonly clock: Clock;
   readonly minLevel?: LogLevel;
-  readonly maxWaitingBytes?: number;
-  /** Lines of one event in a second; failures have a rate of their own. */
+  readonly maxBufferedBytes?: number;
+  /**
+   * Maximum number of lines per second for one event. Each log level is counted separately, so that
+   * frequent lines do not suppress failures.
+   */
   readonly maxLinesPerS?: number;
   readonly writeChunk?: ChunkWriter;
 }
@@ -45,91 +48,94 @@
 
 const DEFAULTS = {
   minLevel: 'info' as LogLevel,
-  // About a second of a busy entry's lines.
-  maxWaitingBytes: 262_144,
-  // Of one event: far above what an entry writes while nothing is wrong.
+  // About one second of log lines of an entry VM under load.
+  maxBufferedBytes: 262_144,
+  // Far above the rate of any event on an entry VM in normal operation.
   maxLinesPerS: 200,
 };
-/** Lines are gathered so long before they are written, so that many share one system call. */
-const GATHER_MS = 20;
-/** How long a full pipe is left alone. */
-const RETRY_MS = 50;
-const SECOND_MS = 1000;
+/** How long lines are buffered before a write, so that many lines share one system call. */
+const BATCH_DELAY_MS = 20;
+/** Delay before a retry after a failed write, such as to a full pipe. */
+const WRITE_RETRY_DELAY_MS = 50;
+const RATE_WINDOW_MS = 1000;
 const STANDARD_OUTPUT = 1;
 
 const writeToStandardOutput: ChunkWriter = (chunk, done) => {
   write(STANDARD_OUTPUT, chunk, done);
 };
 
-interface Rate {
+interface RateWindow {
   sinceMs: number;
   lines: number;
 }
 
 export function createEventLog(options: EventLogOptions): EventLog {
-  const { vmId, clock, minLevel, maxWaitingBytes, maxLinesPerS } = { ...DEFAULTS, ...options };
+  const { vmId, clock, minLevel, maxBufferedBytes, maxLinesPerS } = { ...DEFAULTS, ...options };
   const { writeChunk = writeToStandardOutput } = options;
-  const rates = new Map<string, Rate>();
-  let waiting: string[] = [];
-  let waitingBytes = 0;
-  let leftOut = 0;
-  let rest: Buffer | null = null;
+  const rateWindows = new Map<string, RateWindow>();
+  let bufferedLines: string[] = [];
+  let bufferedBytes = 0;
+  let droppedLines = 0;
+  let unwrittenChunk: Buffer | null = null;
   let isWriting = false;
   let timer: NodeJS.Timeout | null = null;
-  let flushed: (() => void)[] = [];
+  let flushResolvers: (() => void)[] = [];
 
   function takeChunk(): Buffer | null {
-    if (rest) return rest;
-    if (waiting.length === 0) return null;
-    if (leftOut > 0) {
-      waiting.push(`${JSON.stringify({ vmId, event: 'lines-left-out', count: leftOut })}\n`);
-      leftOut = 0;
+    if (unwrittenChunk) return unwrittenChunk;
+    if (bufferedLines.length === 0) return null;
+    if (droppedLines > 0) {
+      bufferedLines.push(
+        `${JSON.stringify({ vmId, event: 'lines-left-out', count: droppedLines })}\n`,
+      );
+      droppedLines = 0;
     }
-    const chunk = Buffer.from(waiting.join(''));
-    waiting = [];
-    waitingBytes = 0;
+    const chunk = Buffer.from(bufferedLines.join(''));
+    bufferedLines = [];
+    bufferedBytes = 0;
     return chunk;
   }
 
-  function pump(): void {
+  function writeBuffered(): void {
     timer = null;
     if (isWriting) return;
     const chunk = takeChunk();
     if (!chunk) {
-      flushed.forEach((resolve) => resolve());
-      flushed = [];
+      flushResolvers.forEach((resolve) => resolve());
+      flushResolvers = [];
       return;
     }
     isWriting = true;
     writeChunk(chunk, (error, writtenBytes) => {
       isWriting = false;
       if (error && error.code !== 'EAGAIN') {
-        // Nobody reads any more: what is waiting is counted as left out, and no one is notified.
-        rest = null;
-        leftOut += 1;
+        // The output is closed or broken: the chunk is discarded and counted as one dropped line.
+        unwrittenChunk = null;
+        droppedLines += 1;
       } else {
-        rest = writtenBytes < chunk.length ? chunk.subarray(writtenBytes) : null;
+        unwrittenChunk = writtenBytes < chunk.length ? chunk.subarray(writtenBytes) : null;
       }
-      if (error) timer ??= setTimeout(pump, RETRY_MS);
-      else pump();
+      if (error) timer ??= setTimeout(writeBuffered, WRITE_RETRY_DELAY_MS);
+      else writeBuffered();
     });
   }
 
-  function isOverRate(event: string, level: LogLevel): boolean {
+  function exceedsRate(event: string, level: LogLevel): boolean {
     const nowMs = clock.nowMs();
     const name = `${level} ${event}`;
-    const rate = rates.get(name) ?? { sinceMs: nowMs, lines: 0 };
-    if (nowMs - rate.sinceMs >= SECOND_MS) Object.assign(rate, { sinceMs: nowMs, lines: 0 });
-    rate.lines += 1;
-    rates.set(name, rate);
-    return rate.lines > maxLinesPerS;
+    const rateWindow = rateWindows.get(name) ?? { sinceMs: nowMs, lines: 0 };
+    if (nowMs - rateWindow.sinceMs >= RATE_WINDOW_MS)
+      Object.assign(rateWindow, { sinceMs: nowMs, lines: 0 });
+    rateWindow.lines += 1;
+    rateWindows.set(name, rateWindow);
+    return rateWindow.lines > maxLinesPerS;
   }
 
   function logAt(level: LogLevel) {
     return (event: string, fields: LogFields = {}): void => {
       if (LEVELS[level] < LEVELS[minLevel]) return;
-      if (waitingBytes > maxWaitingBytes || isOverRate(event, level)) {
-        leftOut += 1;
+      if (bufferedBytes > maxBufferedBytes || exceedsRate(event, level)) {
+        droppedLines += 1;
         return;
       }
       const line = `${JSON.stringify({
@@ -140,9 +146,9 @@
         event,
         ...fields,
       })}\n`;
-      waiting.push(line);
-      waitingBytes += line.length;
-      timer ??= setTimeout(pump, GATHER_MS);
+      bufferedLines.push(line);
+      bufferedBytes += line.length;
+      timer ??= setTimeout(writeBuffered, BATCH_DELAY_MS);
     };
   }
 
@@ -153,8 +159,8 @@
     error: logAt('error'),
     flush: () =>
       new Promise((resolve) => {
-        flushed.push(resolve);
-        pump();
+        flushResolvers.push(resolve);
+        writeBuffered();
       }),
   };
 }
--- a/packages/node/src/metrics.ts
+++ b/packages/node/src/metrics.ts
@@ -1,24 +1,24 @@
-/** Counters, gauges and histograms in the Prometheus text form. */
+/** Counters, gauges and histograms in the Prometheus text format. */
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 
 export type Labels = Readonly<Record<string, string>>;
 
 export interface Metrics {
-  /** Adds to a counter. */
+  /** Increments a counter. */
   count(name: string, labels?: Labels, by?: number): void;
-  /** Records a duration in milliseconds; its name ends in `_ms`. */
+  /** Records a duration in a histogram, whose name ends in `_ms`. */
   observe(name: string, durationMs: number, labels?: Labels): void;
-  /** Sets what a gauge shows; it is read when the metrics are. */
+  /** Registers a gauge, whose value is read each time the metrics are rendered. */
   gauge(name: string, read: () => number): void;
-  /** Reads a counter; 0 when it was never counted. */
+  /** Reads a counter; 0 when it was never incremented. */
   valueOf(name: string, labels?: Labels): number;
-  /** Renders everything. */
+  /** Renders all metrics. */
   render(): string;
 }
 
 const PERCENTILES: readonly number[] = [50, 95, 99];
-const HIGHEST_US = 3_600_000_000;
+const MAX_TRACKED_US = 3_600_000_000;
 const US_PER_MS = 1000;
 
 function seriesName(name: string, labels: Labels): string {
@@ -49,19 +49,19 @@
     },
     observe(name, durationMs, labels = {}) {
       const series = seriesName(name, labels);
-      let known = histograms.get(series);
-      if (!known) {
+      let stored = histograms.get(series);
+      if (!stored) {
         const histogram = build({
           lowestDiscernibleValue: 1,
-          highestTrackableValue: HIGHEST_US,
+          highestTrackableValue: MAX_TRACKED_US,
           numberOfSignificantValueDigits: 2,
           bitBucketSize: 32,
         });
-        known = { name, labels, histogram };
-        histograms.set(series, known);
+        stored = { name, labels, histogram };
+        histograms.set(series, stored);
       }
-      known.histogram.recordValue(
-        Math.min(HIGHEST_US, Math.max(1, Math.round(durationMs * US_PER_MS))),
+      stored.histogram.recordValue(
+        Math.min(MAX_TRACKED_US, Math.max(1, Math.round(durationMs * US_PER_MS))),
       );
     },
     gauge(name, read) {
--- a/packages/node/src/peerRpc.ts
+++ b/packages/node/src/peerRpc.ts
@@ -1,6 +1,6 @@
 /**
- * Requests between VMs: JSON-RPC 2.0 in HTTP bodies on kept-alive connections, signed with
- * the deployment's shared key.
+ * RPC between VMs: JSON-RPC 2.0 over HTTP on keep-alive connections. Requests are signed with the
+ * shared key of the deployment.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { JSONRPCClient, JSONRPCErrorException, JSONRPCServer } from 'json-rpc-2.0';
@@ -18,14 +18,14 @@
   readonly sharedKey: string;
 }
 
-/** Answers one method; the sender's VM is known and was proved by the signature. */
+/** Handles one RPC method; the signature of the request authenticates the sending VM. */
 export type PeerMethod = (params: JsonValue, senderVmId: string) => Promise<JsonValue> | JsonValue;
 
 export interface PeerServerOptions extends PeerIdentity, Endpoint {
   readonly methods: Readonly<Record<string, PeerMethod>>;
-  /** Called with every message that was refused because it is not of this deployment. */
+  /** Called with the error code of every request that was refused before it reached a method. */
   readonly onRefused?: (reason: string) => void;
-  /** Called with bytes received and sent. */
+  /** Called after each request with the number of bytes received and sent. */
   readonly onTraffic?: (receivedBytes: number, sentBytes: number) => void;
 }
 
@@ -40,8 +40,8 @@
 const RECEIVER_HEADER = 'spoolplank-to';
 const SIGNATURE_HEADER = 'spoolplank-signature';
 const APPLICATION_ERROR = -32_000;
-/** What HTTP adds to a body, for the account of control traffic. */
-const HEADER_ESTIMATE_BYTES = 350;
+/** Estimated size of the HTTP headers of one message, used to measure control traffic. */
+const ESTIMATED_HEADER_BYTES = 350;
 
 function headerOf(request: IncomingMessage, name: string): string {
   const value = request.headers[name];
@@ -53,8 +53,8 @@
   const sender = headerOf(request, SENDER_HEADER);
   const receiver = headerOf(request, RECEIVER_HEADER);
   const expected = signMessage(identity.sharedKey, [deployment, sender, receiver, body]);
-  const isOurs = deployment === identity.deployment && receiver === identity.vmId;
-  if (!isOurs || !isEqualSecret(expected, headerOf(request, SIGNATURE_HEADER))) {
+  const isForThisVm = deployment === identity.deployment && receiver === identity.vmId;
+  if (!isForThisVm || !isEqualSecret(expected, headerOf(request, SIGNATURE_HEADER))) {
     throw new SpoolplankError('wrong-deployment');
   }
   return sender;
@@ -69,26 +69,30 @@
       try {
         return await method(params, senderVmId);
       } catch (error) {
-        const known = toSpoolplankError(error);
-        throw new JSONRPCErrorException(known.message, APPLICATION_ERROR, toErrorBody(known));
+        const spoolplankError = toSpoolplankError(error);
+        throw new JSONRPCErrorException(
+          spoolplankError.message,
+          APPLICATION_ERROR,
+          toErrorBody(spoolplankError),
+        );
       }
     });
   });
   return server;
 }
 
-/** Starts the listener for other VMs. */
+/** Starts the server for requests of other VMs. */
 export function listenForPeers(options: PeerServerOptions): Promise<Server> {
   const rpc = createRpcServer(options.methods);
 
-  async function answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async function handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (request.method !== 'POST' || request.url !== RPC_PATH)
       throw new SpoolplankError('not-found');
     const body = (await readBody(request, MAX_BODY_BYTES)).toString('utf8');
     const senderVmId = authenticate(request, body, options);
-    const reply = await rpc.receiveJSON(body, { senderVmId });
-    const text = reply ? JSON.stringify(reply) : '';
-    options.onTraffic?.(body.length + HEADER_ESTIMATE_BYTES, text.length + HEADER_ESTIMATE_BYTES);
+    const rpcResponse = await rpc.receiveJSON(body, { senderVmId });
+    const text = rpcResponse ? JSON.stringify(rpcResponse) : '';
+    options.onTraffic?.(body.length + ESTIMATED_HEADER_BYTES, text.length + ESTIMATED_HEADER_BYTES);
     response.writeHead(200, {
       'content-type': 'application/json',
       'content-length': Buffer.byteLength(text),
@@ -100,7 +104,7 @@
     host: options.host,
     port: options.port,
     onRequest(request, response) {
-      answer(request, response).catch((error: unknown) => {
+      handleRequest(request, response).catch((error: unknown) => {
         const { code } = sendError(response, error);
         options.onRefused?.(code);
       });
@@ -115,7 +119,7 @@
 
 interface CallContext {
   readonly timeoutMs: number;
-  /** The library turns what the transport throws into plain text; this keeps the error itself. */
+  /** The original error of the transport; json-rpc-2.0 keeps only its message. */
   transportError?: SpoolplankError;
 }
 
@@ -127,7 +131,7 @@
   /**
    * Calls a method of another VM.
    *
-   * @throws SpoolplankError what the method threw there, or `unreachable`.
+   * @throws SpoolplankError the error that the method threw on the other VM, or `unreachable`.
    */
   call<Result>(
     target: PeerTarget,
@@ -138,7 +142,7 @@
   close(): void;
 }
 
-/** Creates the caller's side; one for a process. */
+/** Creates the RPC client; a process needs only one. */
 export function createPeerClient(options: PeerClientOptions): PeerClient {
   const agent = createAgent();
   const clients = new Map<string, JSONRPCClient<CallContext>>();
@@ -169,8 +173,8 @@
       },
     });
     options.onTraffic?.(
-      answer.body.length + HEADER_ESTIMATE_BYTES,
-      body.length + HEADER_ESTIMATE_BYTES,
+      answer.body.length + ESTIMATED_HEADER_BYTES,
+      body.length + ESTIMATED_HEADER_BYTES,
     );
     const json = JSON.parse(answer.body.toString('utf8')) as JSONRPCResponse;
     if (answer.status !== 200) throw fromErrorBody(json);
@@ -179,8 +183,8 @@
 
   function clientFor(target: PeerTarget): JSONRPCClient<CallContext> {
     const name = `${target.vmId}@${target.host}:${target.port}`;
-    const known = clients.get(name);
-    if (known) return known;
+    const existing = clients.get(name);
+    if (existing) return existing;
     const client: JSONRPCClient<CallContext> = new JSONRPCClient(
       async (request: JSONRPCRequest, context) => {
         try {
--- a/packages/node/src/rates.ts
+++ b/packages/node/src/rates.ts
@@ -1,14 +1,14 @@
-/** A rate in a header, as servers name the requests a second that they take. */
+/** Parses the rates in response headers: the requests per second that a server accepts. */
 
-/** Digits with a point, no sign, no exponent. */
-const RATE = /^\d{1,12}(\.\d{1,6})?$/;
+/** Decimal digits with an optional fraction; no sign, no exponent. */
+const RATE_PATTERN = /^\d{1,12}(\.\d{1,6})?$/;
 
 /**
- * The smallest rate that the values of a header name, a second; null where one of them is none. A
- * server that says two things is taken at the more careful one, and what cannot be read is no rate.
+ * Returns the lowest rate in the values of a header, in requests per second; null if there are none
+ * or one of them cannot be parsed. If a server states several rates, the lowest is the safe choice.
  */
 export function parseRate(values: readonly string[]): number | null {
   const texts = values.flatMap((value) => value.split(',')).map((text) => text.trim());
-  if (texts.length === 0 || !texts.every((text) => RATE.test(text))) return null;
+  if (texts.length === 0 || !texts.every((text) => RATE_PATTERN.test(text))) return null;
   return Math.min(...texts.map(Number));
 }
--- a/packages/node/src/recordFile.ts
+++ b/packages/node/src/recordFile.ts
@@ -1,36 +1,35 @@
 /**
- * A file of records, each with its length and checksums:
+ * Encodes and decodes files of records, each with its length and checksums:
  *
  *     magic u32 | length u32 | CRC-32 of payload u32 | CRC-32 of the 12 bytes before u32 | payload
  *
- * Payloads are JSON and hold no zero byte. A write that power loss cut short therefore shows
- * as a record that ends beyond the file or in zeros, and is cut off. Any other mismatch is
- * damage, and is reported with its place rather than repaired.
+ * Payloads are JSON and contain no zero byte. A write interrupted by a power loss therefore leaves
+ * a torn record, which extends beyond the end of the file or ends in zeros and is ignored.
+ * Any other mismatch is corruption, which is reported with its offset rather than repaired.
  */
 import { crc32 } from 'node:zlib';
 import { SpoolplankError } from '@spoolplank/shared';
 
 const MAGIC = 0x53_50_4c_31;
 const HEADER_BYTES = 16;
-const HEADER_CRC_AT = 12;
-/** So many zero bytes at the end mark space that was reserved but never written. */
+const HEADER_CRC_OFFSET = 12;
+/** This many zero bytes at the end of a file mark space that was allocated but never written. */
 const TORN_ZERO_BYTES = 8;
 
-/** Encodes one record. */
 export function encodeRecord(payload: string): Buffer {
   const body = Buffer.from(payload, 'utf8');
   const header = Buffer.alloc(HEADER_BYTES);
   header.writeUInt32LE(MAGIC, 0);
   header.writeUInt32LE(body.length, 4);
   header.writeUInt32LE(crc32(body), 8);
-  header.writeUInt32LE(crc32(header.subarray(0, HEADER_CRC_AT)), HEADER_CRC_AT);
+  header.writeUInt32LE(crc32(header.subarray(0, HEADER_CRC_OFFSET)), HEADER_CRC_OFFSET);
   return Buffer.concat([header, body]);
 }
 
 export interface DecodedRecords {
   readonly payloads: readonly string[];
-  /** Length of the file up to the last whole record; what follows was never finished. */
-  readonly wholeBytes: number;
+  /** Length of the file up to the end of the last complete record; a torn record may follow. */
+  readonly validBytes: number;
 }
 
 type RecordCheck =
@@ -40,10 +39,10 @@
 
 function isHeaderValid(bytes: Buffer, offset: number): boolean {
   if (offset + HEADER_BYTES > bytes.length) return false;
-  const expected = bytes.readUInt32LE(offset + HEADER_CRC_AT);
+  const expected = bytes.readUInt32LE(offset + HEADER_CRC_OFFSET);
   return (
     bytes.readUInt32LE(offset) === MAGIC &&
-    crc32(bytes.subarray(offset, offset + HEADER_CRC_AT)) === expected
+    crc32(bytes.subarray(offset, offset + HEADER_CRC_OFFSET)) === expected
   );
 }
 
@@ -73,7 +72,7 @@
 /**
  * Decodes a file of records.
  *
- * @throws SpoolplankError `storage-damaged` with file and offset.
+ * @throws SpoolplankError `storage-damaged` with the file name and the offset of the corruption.
  */
 export function decodeRecords(bytes: Buffer, source: string): DecodedRecords {
   const payloads: string[] = [];
@@ -89,5 +88,5 @@
     payloads.push(check.payload);
     offset = check.endOffset;
   }
-  return { payloads, wholeBytes: offset };
+  return { payloads, validBytes: offset };
 }
--- a/packages/node/src/resetDetection.ts
+++ b/packages/node/src/resetDetection.ts
@@ -1,41 +1,47 @@
 /**
- * Distinguishes a reset connection from one that was closed in order.
+ * Distinguishes a reset connection from one that was closed normally.
  *
- * When bytes and a reset arrive together, libuv reads the bytes and then reports the end of the
- * stream: its poll shows a hang-up after a read that did not fill the buffer, and it takes a short
- * cut (`uv__stream_io` in `unix/stream.c`). An answer that has neither a length nor chunks, and
- * ends with its connection, then looks whole though its sender broke off. Reading is therefore
- * halted after each piece of such an answer, so that the next read asks the kernel, which reports
- * the reset.
+ * When data and a reset arrive together, libuv reads the data and then reports the end of the
+ * stream instead of the reset: if poll reports a hang-up after a read that did not fill the
+ * buffer, `uv__stream_io` in `unix/stream.c` skips the next read. A response that has neither a
+ * length nor chunks, and ends with its connection, then looks complete although the sender aborted
+ * it. Reading is therefore paused after each piece of such a response, so that the next read asks
+ * the kernel, which reports the reset.
  */
 import type { IncomingMessage } from 'node:http';
 
-/** The part of a socket's handle that is used; Node.js gives no public way to halt at once. */
-interface ReadingHandle {
+/**
+ * The methods of a socket's internal handle that are used here; Node.js has no public interface to
+ * stop reading immediately.
+ */
+interface ReadableHandle {
   readStop(): void;
   readStart(): void;
 }
 
 const HANDLE_FIELD = '_handle';
 
-/** Whether only the end of the connection marks the end of an answer. */
+/** Whether the end of a response is marked only by the end of its connection. */
 function endsWithConnection({ headers }: IncomingMessage): boolean {
   return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
 }
 
-/** To be called when the head of an answer arrives, before anything else is awaited. */
+/**
+ * Makes a response fail if its connection is reset. Must be called when the headers of the response
+ * arrive, before anything else is awaited.
+ */
 export function detectReset(response: IncomingMessage): void {
   if (!endsWithConnection(response)) return;
   const { socket } = response;
   const handleOf = () =>
-    (socket as unknown as Readonly<Record<string, ReadingHandle | null>>)[HANDLE_FIELD] ?? null;
-  const halt = () => {
+    (socket as unknown as Readonly<Record<string, ReadableHandle | null>>)[HANDLE_FIELD] ?? null;
+  const pauseReading = () => {
     const handle = handleOf();
     if (!handle) return;
     handle.readStop();
     setImmediate(() => handleOf()?.readStart());
   };
-  halt();
-  socket.on('data', halt);
-  socket.once('close', () => socket.removeListener('data', halt));
+  pauseReading();
+  socket.on('data', pauseReading);
+  socket.once('close', () => socket.removeListener('data', pauseReading));
 }
--- a/packages/node/src/retryAfter.ts
+++ b/packages/node/src/retryAfter.ts
@@ -1,22 +1,23 @@
-/** `Retry-After` of an answer, as a server uses it to ask for a backoff. */
+/** Parses `Retry-After` response headers, with which a server requests a backoff. */
 
 /**
- * The longest backoff that is believed, in milliseconds. A server that wants nothing for longer
- * would leave; a mistaken value, such as milliseconds for seconds, must not cost its service for an
- * hour. One request every two minutes then asks whether it still holds.
+ * Upper limit of a requested backoff. A server that needs longer is expected to leave the
+ * deployment; a wrong value, such as milliseconds instead of seconds, must not take the server out
+ * of service for an hour. With this limit, one request every two minutes probes whether the backoff
+ * still applies.
  */
 const MAX_BACKOFF_MS = 120_000;
 const MS_PER_S = 1000;
-/** Seconds, whole or with a fraction; a date is not understood, as clocks differ by seconds. */
-const SECONDS = /^\d{1,12}(\.\d{1,6})?$/;
+/** Seconds with an optional fraction. HTTP dates are not accepted, as clocks differ by seconds. */
+const SECONDS_PATTERN = /^\d{1,12}(\.\d{1,6})?$/;
 
-/** The longest backoff that the values of the header ask for, in milliseconds; null for none. */
+/** Returns the longest backoff among the values of the header; null if there is none. */
 export function parseBackoffMs(values: readonly string[]): number | null {
-  const asked = values
+  const requestedMs = values
     .flatMap((value) => value.split(','))
     .map((text) => text.trim())
-    .filter((text) => SECONDS.test(text))
+    .filter((text) => SECONDS_PATTERN.test(text))
     .map((text) => Math.ceil(Number(text) * MS_PER_S));
-  const longestMs = Math.max(0, ...asked);
+  const longestMs = Math.max(0, ...requestedMs);
   return longestMs > 0 ? Math.min(longestMs, MAX_BACKOFF_MS) : null;
 }
--- a/packages/node/src/systemClock.ts
+++ b/packages/node/src/systemClock.ts
@@ -1,63 +1,71 @@
 import { performance } from 'node:perf_hooks';
 import type { Clock } from '@spoolplank/shared';
 
-/** The two times that a machine has. */
+/** The clocks of the operating system. */
 export interface ClockSources {
-  /** Monotonic, and standing still while the machine is suspended. */
+  /** Monotonic clock, which stops while the machine is suspended. */
   readonly steadyMs: () => number;
-  /** Time of day: it goes on meanwhile, and may be stepped either way. */
+  /** Wall clock, which continues during a suspension and may be stepped in either direction. */
   readonly wallMs: () => number;
 }
 
 /**
- * So much more may pass on the time of day than on the steady clock between two readings before it
- * counts as a suspension: less than the 70 ms by which a lead ends before another may begin. Where
- * the time of day is slewed, it gains 0.02 ms in 40 ms.
+ * Minimum gain of the wall clock on the monotonic clock between two readings that counts as a
+ * suspension. It must be below the 70 ms that separate the end of one leader's lead from the
+ * earliest start of the next, and above the effect of slewing, which gains 0.02 ms in 40 ms.
+ */
+const MIN_SUSPENSION_MS = 50;
+/**
+ * Maximum time between the two monotonic readings around a wall clock reading. A longer time means
+ * that the process was interrupted in between.
  */
-const LEAST_SUSPENSION_MS = 50;
-/** Two steady readings around one of the time of day; what is further apart was interrupted. */
 const MAX_READING_MS = 5;
-const MAX_READINGS = 10;
+const MAX_READING_ATTEMPTS = 10;
 
 /**
- * A clock that counts the time for which the machine was suspended. The steady clock leaves it out,
- * so that a VM woken after seconds would take a lease or a confirmation for fresh that ended long
- * ago. It is seen at the next reading, as the time of day has gone on.
+ * Creates a clock whose `nowMs` includes the time for which the machine was suspended. The system's
+ * monotonic clock excludes it, so a VM that resumes after seconds would still trust a lease or a
+ * confirmation that has expired. A suspension is detected at the next reading, from the gain of the
+ * wall clock.
  *
- * A time of day that is stepped forward looks the same and is counted too, which lets permissions
- * run out early; stepped back, it counts for nothing. What must not end early goes by `steadyMs`.
- * A suspension during which the time of day is stepped back by as much is not seen.
+ * A wall clock that is stepped forward cannot be distinguished from a suspension and is counted as
+ * one, so leases expire early; a step back is ignored. Whatever must not end early uses `steadyMs`.
+ * A suspension during which the wall clock is stepped back by the same amount is not detected.
  */
 export function createSystemClock({ steadyMs, wallMs }: ClockSources): Clock {
   let suspendedMs = 0;
-  let aheadMs = wallMs() - steadyMs();
+  let wallOffsetMs = wallMs() - steadyMs();
 
-  /** How far the time of day is ahead of the steady clock, read without an interruption. */
-  function readAheadMs(): number {
-    let best = { ahead: 0, tookMs: Number.POSITIVE_INFINITY };
-    for (let tries = 0; tries < MAX_READINGS && best.tookMs > MAX_READING_MS; tries += 1) {
-      const fromMs = steadyMs();
-      const ahead = wallMs() - fromMs;
-      const tookMs = steadyMs() - fromMs;
-      if (tookMs < best.tookMs) best = { ahead, tookMs };
+  /** Reads by how much the wall clock is ahead of the monotonic clock, without an interruption. */
+  function readWallOffsetMs(): number {
+    let best = { offsetMs: 0, readingMs: Number.POSITIVE_INFINITY };
+    for (
+      let attempt = 0;
+      attempt < MAX_READING_ATTEMPTS && best.readingMs > MAX_READING_MS;
+      attempt += 1
+    ) {
+      const startMs = steadyMs();
+      const offsetMs = wallMs() - startMs;
+      const readingMs = steadyMs() - startMs;
+      if (readingMs < best.readingMs) best = { offsetMs, readingMs };
     }
-    return best.ahead;
+    return best.offsetMs;
   }
 
   function countSuspension(): void {
-    const nowAheadMs = readAheadMs();
-    const gainedMs = nowAheadMs - aheadMs;
-    if (gainedMs > LEAST_SUSPENSION_MS) suspendedMs += gainedMs;
-    aheadMs = nowAheadMs;
+    const newOffsetMs = readWallOffsetMs();
+    const offsetChangeMs = newOffsetMs - wallOffsetMs;
+    if (offsetChangeMs > MIN_SUSPENSION_MS) suspendedMs += offsetChangeMs;
+    wallOffsetMs = newOffsetMs;
   }
 
   return {
     nowMs() {
-      const readMs = steadyMs();
-      const gainedMs = wallMs() - readMs - aheadMs;
-      // Two readings cost 0.1 us; the careful ones only follow where these two disagree.
-      if (Math.abs(gainedMs) > LEAST_SUSPENSION_MS) countSuspension();
-      else aheadMs += gainedMs;
+      const steadyNowMs = steadyMs();
+      const offsetDriftMs = wallMs() - steadyNowMs - wallOffsetMs;
+      // Two readings cost 0.1 us. The repeated readings are made only when these two differ.
+      if (Math.abs(offsetDriftMs) > MIN_SUSPENSION_MS) countSuspension();
+      else wallOffsetMs += offsetDriftMs;
       return steadyMs() + suspendedMs;
     },
     steadyMs,
@@ -65,19 +73,18 @@
   };
 }
 
-/** The clock of the machine. */
+/** The clock of the machine that the process runs on. */
 export const SYSTEM_CLOCK: Clock = createSystemClock({
   steadyMs: () => performance.now(),
   wallMs: () => Date.now(),
 });
 
-/** Runs a function later; returns how to cancel that. */
+/** Runs a function after a delay; returns a function that cancels it. */
 export function scheduleTimer(run: () => void, delayMs: number): () => void {
   const timer = setTimeout(run, delayMs);
   return () => clearTimeout(timer);
 }
 
-/** Resolves after a time. */
 export function delay(durationMs: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, durationMs);
