--- a/packages/node/src/systemClock.ts
+++ b/packages/node/src/systemClock.ts
@@ -11,8 +11,8 @@
 
 /**
  * Minimum gain of the wall clock on the monotonic clock between two readings that counts as a
- * suspension. It must be below the 70 ms that separate the end of one leader's lead from the
- * earliest start of the next, and above the effect of slewing, which gains 0.02 ms in 40 ms.
+ * suspension. It must be below the 70 ms that separate the end of one leader's lease from the
+ * earliest start of another's, and above the effect of slewing, which gains 0.02 ms in 40 ms.
  */
 const MIN_SUSPENSION_MS = 50;
 /**
--- a/packages/settings/__tests__/settings.spec.ts
+++ b/packages/settings/__tests__/settings.spec.ts
@@ -59,7 +59,7 @@
 }
 
 describe('effective policy', () => {
-  it('takes each value from the nearest branch that sets it, and says which', () => {
+  it('takes each value from the most specific branch that sets it, and names the branch', () => {
     const path = { organisation: 'acme', service: 'drafts', pipeline: 'main', backendServer: 'e1' };
     const { policy, origins } = resolvePolicy(TREE, path);
     assert.deepEqual([policy.priority, origins.priority], [7, '/organisations/acme']);
@@ -79,7 +79,7 @@
     );
   });
 
-  it('changes below a branch only what that branch sets', () => {
+  it('differs from the policy above only in the values that a branch sets', () => {
     const { policy } = resolvePolicy(TREE, { organisation: 'other', service: 'drafts' });
     assert.equal(policy.priority, 4);
     assert.equal(policy.weight, DEFAULT_POLICY.weight);
@@ -87,14 +87,14 @@
 });
 
 describe('edits', () => {
-  it('leave the tree they are applied to as it was', () => {
+  it('do not modify the tree that they are applied to', () => {
     const before = JSON.stringify(TREE);
     const after = applyEdits(TREE, [{ pointer: '/organisations/acme/policy/priority', value: 1 }]);
     assert.equal(JSON.stringify(TREE), before);
     assert.equal(after.organisations?.acme?.policy?.priority, 1);
   });
 
-  it('remove a place that has no value, and nothing else', () => {
+  it('remove the target of an edit without a value, and nothing else', () => {
     const after = applyEdits(TREE, [
       { pointer: '/organisations/acme' },
       { pointer: '/organisations/nobody/policy' },
@@ -103,12 +103,12 @@
     assert.equal(after.policy, TREE.policy);
   });
 
-  it('cannot reach the prototype of an object', () => {
+  it('cannot modify the prototype of an object', () => {
     const findings = collectEditFindings([{ pointer: '/__proto__/polluted', value: 1 }], 'edits');
     assert.equal(findings[0]?.pointer, '/0/pointer');
   });
 
-  it('give the same tree for the same edits, whatever they are', () => {
+  it('give the same tree whenever the same edits are applied', () => {
     const edit = fc.record({
       pointer: fc.constantFrom('', '/policy', '/policy/weight', '/a~1b', '/services/x/y'),
       value: fc.jsonValue(),
@@ -125,7 +125,7 @@
 });
 
 describe('findings', () => {
-  it('are reported together, each with its place and what would be right', () => {
+  it('are reported together, each with its pointer and what is expected', () => {
     const tree = {
       policy: { deadline: 3, weight: 0 },
       services: { drafts: { kind: 'model' }, 'bad name!': { kind: 'plain' } },
@@ -139,7 +139,7 @@
     assert.match(text, /bad name!/);
   });
 
-  it('name a service that an organisation uses and nobody defines', () => {
+  it('report a service that an organisation uses and that is not defined', () => {
     const findings = collectTreeFindings(
       { organisations: { acme: { services: { drafts: {} } } } },
       't',
@@ -147,26 +147,26 @@
     assert.equal(findings[0]?.pointer, '/organisations/acme/services/drafts');
   });
 
-  it('are empty for a tree that can be put in force', () => {
+  it('are empty for a valid tree', () => {
     assert.deepEqual(collectTreeFindings(TREE, 't'), []);
   });
 
-  it('tell a VM settings file what it lacks', () => {
+  it('report missing, unknown and invalid values in the settings file of a VM', () => {
     assert.deepEqual(collectVmFindings(createVmSettings(), 'vm.json'), []);
-    const { dataFolder, ...noFolder } = createVmSettings();
+    const { dataFolder, ...withoutDataFolder } = createVmSettings();
     assert.equal(dataFolder, '/data');
-    assert.equal(collectVmFindings(noFolder, 'vm.json')[0]?.pointer, '/dataFolder');
-    const wrong = {
+    assert.equal(collectVmFindings(withoutDataFolder, 'vm.json')[0]?.pointer, '/dataFolder');
+    const invalid = {
       ...createVmSettings(),
       sharedKey: 'short',
       extra: 1,
       vm: { ...createVmSettings().vm, host: 'name.example' },
     };
-    const pointers = collectVmFindings(wrong, 'vm.json').map(({ pointer }) => pointer);
+    const pointers = collectVmFindings(invalid, 'vm.json').map(({ pointer }) => pointer);
     assert.deepEqual(pointers.sort(), ['/extra', '/sharedKey', '/vm/host']);
   });
 
-  it('name a VM that stands twice, under its own name or under another one', () => {
+  it('report a VM that is listed twice, under the same or another name', () => {
     const { vm } = createVmSettings();
     const other = { ...vm, vmId: 'vm2', host: '127.0.0.2' };
     const findPointers = (peers: readonly (typeof vm)[]) =>
@@ -177,7 +177,7 @@
     assert.deepEqual(findPointers([other, { ...other, vmId: 'vm3', peerPort: 9 }]), ['/peers/1']);
   });
 
-  it('give line and column of what is not JSON', () => {
+  it('give the line and column of a JSON syntax error', () => {
     assert.throws(() => parseJson('{\n  "a": 1,\n  oops\n}', 'f.json'), {
       code: 'invalid-settings',
       message: /f.json: line 3, column 3/,
@@ -186,7 +186,7 @@
 });
 
 describe('settings reference', () => {
-  it('is current; else run npm run reference', () => {
+  it('is up to date; otherwise run npm run reference', () => {
     const page = readFileSync('docs/operators/settings-reference.md', 'utf8');
     assert.equal(page, renderSettingsReference());
   });
--- a/packages/settings/examples/inherit.ts
+++ b/packages/settings/examples/inherit.ts
@@ -1,4 +1,4 @@
-/** Resolves what a branch inherits, and reports everything wrong with a tree at once. */
+/** Resolves the policy that a branch inherits, and reports all findings of an invalid tree. */
 import { formatFindings } from '@spoolplank/shared';
 import { collectTreeFindings, resolvePolicy } from '@spoolplank/settings';
 import type { SettingsTree } from '@spoolplank/settings';
@@ -12,6 +12,6 @@
   const { policy, origins } = resolvePolicy(tree, { organisation: 'acme', service: 'bookings' });
   write(`deadlineMs ${policy.deadlineMs} from ${origins.deadlineMs}`);
   write(`weight ${policy.weight} from ${origins.weight}`);
-  const wrong = { policy: { weight: 0, wait: 1 }, services: { drafts: { kind: 'model' } } };
-  write(formatFindings(collectTreeFindings(wrong, 'tree.json')));
+  const invalidTree = { policy: { weight: 0, wait: 1 }, services: { drafts: { kind: 'model' } } };
+  write(formatFindings(collectTreeFindings(invalidTree, 'tree.json')));
 }
--- a/packages/settings/src/edits.ts
+++ b/packages/settings/src/edits.ts
@@ -3,7 +3,7 @@
 import type { SettingsTree } from './tree';
 import { isTreePointer } from './validation';
 
-/** One step of a change: puts a value at a place, or removes it when `value` is absent. */
+/** One edit of a change: sets the value at a pointer, or removes it when `value` is absent. */
 export interface Edit {
   /** JSON pointer into the tree; the empty string replaces the whole tree. */
   readonly pointer: string;
@@ -12,7 +12,7 @@
 
 const FORBIDDEN_SEGMENTS: ReadonlySet<string> = new Set(['__proto__', 'constructor', 'prototype']);
 
-/** Everything wrong with the form of edits, before they are applied. */
+/** Checks the form of edits before they are applied, and returns all findings. */
 export function collectEditFindings(edits: unknown, source: string): readonly Finding[] {
   if (!Array.isArray(edits) || edits.length === 0) {
     return [
@@ -57,14 +57,14 @@
 ): JsonValue | undefined {
   const [head, ...rest] = segments;
   if (head === undefined) return value;
-  const before: JsonObject = isJsonObject(branch) ? branch : {};
-  const child = editBranch(Object.hasOwn(before, head) ? before[head] : undefined, rest, value);
-  if (child !== undefined) return { ...before, [head]: child };
-  const { [head]: removed, ...others } = before;
+  const parent: JsonObject = isJsonObject(branch) ? branch : {};
+  const child = editBranch(Object.hasOwn(parent, head) ? parent[head] : undefined, rest, value);
+  if (child !== undefined) return { ...parent, [head]: child };
+  const { [head]: removed, ...others } = parent;
   return removed === undefined && branch === undefined ? undefined : others;
 }
 
-/** Applies edits in order and returns the new tree; the old one is left as it was. */
+/** Applies edits in order and returns the new tree; the given tree is not modified. */
 export function applyEdits(tree: SettingsTree, edits: readonly Edit[]): SettingsTree {
   return edits.reduce<SettingsTree>((current, { pointer, value }) => {
     const edited = editBranch(current as unknown as JsonValue, parsePointer(pointer), value);
--- a/packages/settings/src/effective.ts
+++ b/packages/settings/src/effective.ts
@@ -3,7 +3,7 @@
 import type { Policy } from './policy';
 import type { SettingsTree } from './tree';
 
-/** A place in the tree; each level needs the ones before it. */
+/** A branch of the tree. `pipeline` requires `service`, and `backendServer` requires `pipeline`. */
 export interface BranchPath {
   readonly organisation?: string;
   readonly service?: string;
@@ -11,19 +11,19 @@
   readonly backendServer?: string;
 }
 
-/** A policy with every value resolved, and where each value came from. */
+/** A policy with every value resolved, and the origin of each value. */
 export interface EffectivePolicy {
   readonly policy: Policy;
   /** JSON pointer of the branch that set the value, or `default`. */
   readonly origins: Readonly<Record<keyof Policy, string>>;
 }
 
-interface Layer {
+interface PolicySource {
   readonly origin: string;
   readonly policy: Partial<Policy> | undefined;
 }
 
-type Services = Readonly<
+type ServiceBranches = Readonly<
   Record<
     string,
     {
@@ -43,50 +43,52 @@
   >
 >;
 
-function collectServiceLayers(
+function collectServiceSources(
   prefix: readonly string[],
-  services: Services | undefined,
+  services: ServiceBranches | undefined,
   path: BranchPath,
-): readonly Layer[] {
+): readonly PolicySource[] {
   if (path.service === undefined) return [];
   const service = services?.[path.service];
-  const at = [...prefix, 'services', path.service];
-  const layers: Layer[] = [{ origin: formatPointer(at), policy: service?.policy }];
-  if (path.pipeline === undefined) return layers;
+  const serviceSegments = [...prefix, 'services', path.service];
+  const serviceSources: PolicySource[] = [
+    { origin: formatPointer(serviceSegments), policy: service?.policy },
+  ];
+  if (path.pipeline === undefined) return serviceSources;
   const pipeline = service?.pipelines?.[path.pipeline];
-  const pipelineAt = [...at, 'pipelines', path.pipeline];
-  layers.push({ origin: formatPointer(pipelineAt), policy: pipeline?.policy });
-  if (path.backendServer === undefined) return layers;
-  layers.push({
-    origin: formatPointer([...pipelineAt, 'backendServers', path.backendServer]),
+  const pipelineSegments = [...serviceSegments, 'pipelines', path.pipeline];
+  serviceSources.push({ origin: formatPointer(pipelineSegments), policy: pipeline?.policy });
+  if (path.backendServer === undefined) return serviceSources;
+  serviceSources.push({
+    origin: formatPointer([...pipelineSegments, 'backendServers', path.backendServer]),
     policy: pipeline?.backendServers?.[path.backendServer]?.policy,
   });
-  return layers;
+  return serviceSources;
 }
 
-/** The layers that decide a branch, the most general first; see docs/design/settings.md. */
-function collectLayers(tree: SettingsTree, path: BranchPath): readonly Layer[] {
-  const layers: Layer[] = [{ origin: '', policy: tree.policy }];
-  layers.push(...collectServiceLayers([], tree.services, path));
-  if (path.organisation === undefined) return layers;
+/** Returns the policies that apply to a branch, most general first; see docs/design/settings.md. */
+function collectPolicySources(tree: SettingsTree, path: BranchPath): readonly PolicySource[] {
+  const policySources: PolicySource[] = [{ origin: '', policy: tree.policy }];
+  policySources.push(...collectServiceSources([], tree.services, path));
+  if (path.organisation === undefined) return policySources;
   const organisation = tree.organisations?.[path.organisation];
-  const at = ['organisations', path.organisation];
-  layers.push({ origin: formatPointer(at), policy: organisation?.policy });
-  layers.push(...collectServiceLayers(at, organisation?.services, path));
-  return layers;
+  const organisationSegments = ['organisations', path.organisation];
+  policySources.push({ origin: formatPointer(organisationSegments), policy: organisation?.policy });
+  policySources.push(...collectServiceSources(organisationSegments, organisation?.services, path));
+  return policySources;
 }
 
-/** Resolves the policy of a branch: the nearest branch that sets a value decides it. */
+/** Resolves the policy of a branch: each value comes from the most specific branch that sets it. */
 export function resolvePolicy(tree: SettingsTree, path: BranchPath): EffectivePolicy {
   const policy: Record<string, unknown> = { ...DEFAULT_POLICY };
   const origins: Record<string, string> = {};
   Object.keys(DEFAULT_POLICY).forEach((key) => {
     origins[key] = 'default';
   });
-  collectLayers(tree, path).forEach((layer) => {
-    Object.entries(layer.policy ?? {}).forEach(([key, value]) => {
+  collectPolicySources(tree, path).forEach((source) => {
+    Object.entries(source.policy ?? {}).forEach(([key, value]) => {
       policy[key] = value;
-      origins[key] = layer.origin === '' ? '/' : layer.origin;
+      origins[key] = source.origin === '' ? '/' : source.origin;
     });
   });
   return {
--- a/packages/settings/src/policy.ts
+++ b/packages/settings/src/policy.ts
@@ -1,35 +1,38 @@
 /**
- * The values that every branch of the settings tree may set and inherits from the branch
- * above it. A branch states only what it overrides.
+ * The values that every branch of the settings tree may set, and otherwise inherits. A branch
+ * contains only the values that it overrides.
  */
 export interface Policy {
-  /** Whether requests of this branch are taken at all. */
+  /** Whether requests of this branch are accepted at all. */
   readonly isEnabled: boolean;
-  /** Share of capacity against other organisations when there is a queue. */
+  /** Share of capacity relative to other organisations while requests are queued. */
   readonly weight: number;
-  /** 0 is shed first, 9 last. */
+  /** Requests of priority 0 are shed first, those of priority 9 last. */
   readonly priority: number;
-  /** Greatest number of requests that run at once on one entry VM. */
+  /** Maximum number of concurrent requests on one entry VM. */
   readonly maxInFlight: number;
-  /** Greatest number of requests that wait on one entry VM. */
+  /** Maximum number of queued requests on one entry VM. */
   readonly maxQueueLength: number;
-  /** Longest time a request may wait for a slot. */
+  /** Maximum time that a request may wait for a slot. */
   readonly maxQueueTimeMs: number;
-  /** Deadline of a request that states none. */
+  /** Deadline of a request that does not state one. */
   readonly deadlineMs: number;
   readonly maxBodyBytes: number;
   readonly maxOutputTokens: number;
-  /** Whether a request that says nothing may be run again after a failure. */
+  /**
+   * Whether a request without a `spoolplank-repeatable` header may be retried after an attempt that
+   * may have run.
+   */
   readonly isRepeatable: boolean;
-  /** Greatest number of attempts beyond the first. */
+  /** Maximum number of attempts after the first. */
   readonly maxRetries: number;
-  /** How long an idempotency key is kept. */
+  /** How long an idempotency key is retained. */
   readonly keyRetentionMs: number;
   /** What an entry VM does when it cannot confirm its settings. */
   readonly onStaleSettings: 'refuse' | 'serve';
 }
 
-/** What applies where no branch says otherwise. */
+/** Values that apply where no branch sets them. */
 export const DEFAULT_POLICY: Policy = {
   isEnabled: true,
   weight: 1,
@@ -54,46 +57,53 @@
   type: 'object',
   additionalProperties: false,
   properties: {
-    isEnabled: { type: 'boolean', description: 'Whether requests of this branch are taken.' },
+    isEnabled: { type: 'boolean', description: 'Whether requests of this branch are accepted.' },
     weight: {
       type: 'number',
       exclusiveMinimum: 0,
       maximum: 1000,
-      description: 'Share of capacity while requests queue.',
+      description: 'Share of capacity relative to other organisations while requests are queued.',
     },
     priority: {
       type: 'integer',
       minimum: 0,
       maximum: 9,
-      description: '0 is shed first, 9 last.',
+      description: 'Requests of priority 0 are shed first, those of priority 9 last.',
     },
-    maxInFlight: { ...COUNT, description: 'Requests that run at once on one entry VM.' },
-    maxQueueLength: { ...COUNT, description: 'Requests that wait on one entry VM.' },
-    maxQueueTimeMs: { ...DURATION_MS, description: 'Longest wait for a slot.' },
-    deadlineMs: { ...DURATION_MS, description: 'Deadline of a request that states none.' },
+    maxInFlight: {
+      ...COUNT,
+      description: 'Maximum number of concurrent requests on one entry VM.',
+    },
+    maxQueueLength: { ...COUNT, description: 'Maximum number of queued requests on one entry VM.' },
+    maxQueueTimeMs: {
+      ...DURATION_MS,
+      description: 'Maximum time that a request may wait for a slot.',
+    },
+    deadlineMs: { ...DURATION_MS, description: 'Deadline of a request that does not state one.' },
     maxBodyBytes: {
       type: 'integer',
       minimum: 1,
       maximum: 67_108_864,
-      description: 'Largest request body.',
+      description: 'Maximum size of a request body.',
     },
     maxOutputTokens: {
       type: 'integer',
       minimum: 1,
       maximum: 1_000_000,
-      description: 'Most tokens in one answer.',
+      description: 'Maximum number of tokens in one answer.',
     },
     isRepeatable: {
       type: 'boolean',
-      description: 'Whether a request that says nothing may be run again after a failure.',
+      description:
+        'Whether a request without a `spoolplank-repeatable` header may be retried after an attempt that may have run.',
     },
     maxRetries: {
       type: 'integer',
       minimum: 0,
       maximum: 10,
-      description: 'Attempts beyond the first.',
+      description: 'Maximum number of attempts after the first.',
     },
-    keyRetentionMs: { ...DURATION_MS, description: 'How long an idempotency key is kept.' },
+    keyRetentionMs: { ...DURATION_MS, description: 'How long an idempotency key is retained.' },
     onStaleSettings: {
       enum: ['refuse', 'serve'],
       description: 'What an entry VM does when it cannot confirm its settings.',
--- a/packages/settings/src/reference.ts
+++ b/packages/settings/src/reference.ts
@@ -1,4 +1,4 @@
-/** Renders the reference of all settings from their schemas. */
+/** Renders the reference page of all settings from their JSON schemas. */
 import { DEFAULT_POLICY, POLICY_SCHEMA } from './policy';
 import { DEFAULT_TIMINGS, VM_SETTINGS_SCHEMA } from './vmSettings';
 
@@ -24,12 +24,12 @@
 
 function collectRows(node: SchemaNode, pointer: string): readonly Row[] {
   return Object.entries(node.properties ?? {}).flatMap(([name, child]) => {
-    const at = `${pointer}/${name}`;
+    const childPointer = `${pointer}/${name}`;
     const isRequired = node.required?.includes(name) ?? false;
-    const inner = child.items?.properties
-      ? collectRows(child.items, `${at}/*`)
-      : collectRows(child, at);
-    return [{ pointer: at, node: child, isRequired }, ...inner];
+    const childRows = child.items?.properties
+      ? collectRows(child.items, `${childPointer}/*`)
+      : collectRows(child, childPointer);
+    return [{ pointer: childPointer, node: child, isRequired }, ...childRows];
   });
 }
 
@@ -41,7 +41,7 @@
 function describeValue(node: SchemaNode): string {
   const values = node.enum ?? node.items?.enum;
   if (values) return values.map(String).join(', ');
-  if (node.format) return 'IP number';
+  if (node.format) return 'IP address';
   if (node.pattern) return `text, \`${node.pattern}\``;
   return [node.type ?? '', describeRange(node)].filter((part) => part !== '').join(', ');
 }
@@ -55,14 +55,14 @@
     '| --- | --- | --- | --- |',
     ...rows.map(({ pointer, node, isRequired }) => {
       const name = pointer.split('/').at(-1) ?? '';
-      const fallback = Object.hasOwn(defaults, name) ? `\`${String(defaults[name])}\`` : '';
+      const defaultText = Object.hasOwn(defaults, name) ? `\`${String(defaults[name])}\`` : '';
       const value = describeValue(node).replaceAll('|', '\\|');
-      return `| \`${pointer}\` | ${value} | ${isRequired ? 'required' : fallback} | ${node.description ?? ''} |`;
+      return `| \`${pointer}\` | ${value} | ${isRequired ? 'required' : defaultText} | ${node.description ?? ''} |`;
     }),
   ];
 }
 
-/** The page `docs/operators/settings-reference.md`, whole. */
+/** Renders the complete page `docs/operators/settings-reference.md`. */
 export function renderSettingsReference(): string {
   return [
     '# Settings reference',
@@ -75,20 +75,20 @@
     '',
     '## Policy of a branch of the settings tree',
     '',
-    'Every branch may set these under `/policy`; a branch inherits what it does not set. The order, the later',
-    'one deciding: `/policy`, `/services/S/policy`, its pipeline, its backend server, then',
-    '`/organisations/O/policy`, `/organisations/O/services/S/policy`, its pipeline, its backend server.',
+    'Every branch may set these values under `/policy` and inherits those that it does not set. Where several',
+    'of these policies set a value, the last one applies: `/policy`, `/services/S/policy`, its pipeline, its',
+    'backend server, `/organisations/O/policy`, `/organisations/O/services/S/policy`, its pipeline, its backend server.',
     '',
     ...renderTable(collectRows(POLICY_SCHEMA, ''), { ...DEFAULT_POLICY }),
     '',
-    '## The rest of the tree',
+    '## Other values of the settings tree',
     '',
     '| place | value | meaning |',
     '| --- | --- | --- |',
-    '| `/services/S/kind` | model, plain | What the service is; required. |',
+    '| `/services/S/kind` | model, plain | Kind of the service; required. |',
     '| `/services/S/layers` | integer, 1 to 1000 | Number of layers; required for a model. |',
-    '| `/organisations/O/tokenDigests` | list of SHA-256 in hex | Tokens with which its callers identify themselves. |',
-    '| `/organisations/O/services/S` | a branch | The organisation may use the service. |',
+    '| `/organisations/O/tokenDigests` | list of SHA-256 in hex | Digests of the bearer tokens of its callers. |',
+    '| `/organisations/O/services/S` | a branch | Permits the organisation to use the service. |',
     '',
   ].join('\n');
 }
--- a/packages/settings/src/tree.ts
+++ b/packages/settings/src/tree.ts
@@ -19,20 +19,20 @@
   /** SHA-256 digests, in hex, of the bearer tokens of this organisation. */
   readonly tokenDigests?: readonly string[];
   readonly policy?: Partial<Policy>;
-  /** The services that the organisation may use. */
+  /** The services that the organisation is permitted to use. */
   readonly services?: Readonly<Record<string, ServiceBranch>>;
 }
 
-/** What the whole deployment knows of a service; organisations refer to it by name. */
+/** Definition of a service for the whole deployment; organisations refer to it by name. */
 export interface ServiceDefinition {
   readonly kind: 'model' | 'plain';
-  /** Number of layers of the model; needed for kind `model`. */
+  /** Number of layers of the model; required for kind `model`. */
   readonly layers?: number;
   readonly policy?: Partial<Policy>;
   readonly pipelines?: Readonly<Record<string, PipelineBranch>>;
 }
 
-/** The settings of a deployment: what operators change, and what is in force everywhere. */
+/** The settings of a deployment, which operators change and which apply to all VMs. */
 export interface SettingsTree {
   readonly policy?: Partial<Policy>;
   readonly services?: Readonly<Record<string, ServiceDefinition>>;
@@ -41,7 +41,7 @@
 
 export const EMPTY_TREE: SettingsTree = {};
 
-/** Names of branches: short, and safe in a path and a log line. */
+/** Names of branches and VMs: short, and safe in paths and log lines without escaping. */
 export const NAME_PATTERN = '^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$';
 
 function mapOf(schema: object) {
--- a/packages/settings/src/validation.ts
+++ b/packages/settings/src/validation.ts
@@ -8,12 +8,12 @@
 import { VM_SETTINGS_SCHEMA } from './vmSettings';
 import type { VmAddress, VmSettings } from './vmSettings';
 
-type Explain = (
+type ExplainError = (
   error: ErrorObject,
 ) => Pick<Finding, 'problem' | 'expected'> & { readonly pointer?: string };
 
-/** How each kind of schema violation is put to a person. */
-const EXPLANATIONS: Readonly<Record<string, Explain>> = {
+/** Messages for operators, by the schema keyword that is violated. */
+const EXPLANATIONS: Readonly<Record<string, ExplainError>> = {
   additionalProperties: ({ params, instancePath, parentSchema }) => ({
     pointer: `${instancePath}${formatPointer([String(params.additionalProperty)])}`,
     problem: 'unknown key',
@@ -33,10 +33,10 @@
     problem: 'wrong form',
     expected: `text matching ${String(params.pattern)}`,
   }),
-  format: () => ({ problem: 'wrong form', expected: 'an IP number' }),
+  format: () => ({ problem: 'wrong form', expected: 'an IP address' }),
 };
 
-/** Violations that only repeat another one. */
+/** Keywords whose violation is always reported together with a more specific one. */
 const REDUNDANT_KEYWORDS: ReadonlySet<string> = new Set(['if', 'propertyNames']);
 
 function pointerOf({ instancePath, propertyName }: ErrorObject): string {
@@ -67,7 +67,7 @@
 const validators = new Map<object, ValidateFunction>();
 
 function collectSchemaFindings(schema: object, value: unknown, source: string): readonly Finding[] {
-  // Compiled on first use: a daemon that never checks a tree does not pay for its validator.
+  // Validators are compiled on first use, so that a daemon that never checks a tree saves the cost.
   const validate = validators.get(schema) ?? createValidator(schema);
   validators.set(schema, validate);
   if (validate(value)) return [];
@@ -77,26 +77,28 @@
 }
 
 function collectReferenceFindings(tree: SettingsTree, source: string): readonly Finding[] {
-  const known = new Set(Object.keys(tree.services ?? {}));
+  const definedServices = new Set(Object.keys(tree.services ?? {}));
   return Object.entries(tree.organisations ?? {}).flatMap(([organisation, branch]) =>
     Object.keys(branch.services ?? {})
-      .filter((service) => !known.has(service))
+      .filter((service) => !definedServices.has(service))
       .map((service) => ({
         source,
         pointer: formatPointer(['organisations', organisation, 'services', service]),
         problem: 'refers to a service that is not defined',
-        expected: known.size ? `one of ${[...known].join(', ')}` : 'a service under /services',
+        expected: definedServices.size
+          ? `one of ${[...definedServices].join(', ')}`
+          : 'a service under /services',
       })),
   );
 }
 
-/** Everything wrong with a settings tree; empty when it can be put in force. */
+/** Returns all findings of a settings tree; none if it can take effect. */
 export function collectTreeFindings(value: unknown, source: string): readonly Finding[] {
   const findings = collectSchemaFindings(TREE_SCHEMA, value, source);
   return findings.length ? findings : collectReferenceFindings(value as SettingsTree, source);
 }
 
-/** Two VMs at one address are one VM under two names: it would vote twice. */
+/** Finds addresses that are listed for two VMs: a VM under two names would vote twice. */
 function collectAddressFindings({ vm, peers }: VmSettings, source: string): readonly Finding[] {
   const owners = new Map<string, string>();
   const addressesOf = ({ host, callerPort, peerPort }: VmAddress) => [
@@ -108,8 +110,8 @@
       const owner = owners.get(address);
       owners.set(address, peer.vmId);
       if (owner === undefined) return [];
-      const problem = `${address} is the address of ${owner} too`;
-      return [{ source, pointer: `/peers/${index}`, problem, expected: 'an address of its own' }];
+      const problem = `${address} is also the address of ${owner}`;
+      return [{ source, pointer: `/peers/${index}`, problem, expected: 'a unique address' }];
     }),
   );
 }
@@ -124,17 +126,17 @@
       expected: 'a folder, for the role control',
     });
   }
-  const seen = new Set([settings.vm.vmId]);
+  const seenVmIds = new Set([settings.vm.vmId]);
   settings.peers.forEach(({ vmId }, index) => {
-    if (seen.has(vmId)) {
+    if (seenVmIds.has(vmId)) {
       findings.push({
         source,
         pointer: `/peers/${index}/vmId`,
-        problem: `the name ${vmId} stands twice`,
+        problem: `the VM name ${vmId} is used twice`,
         expected: 'a unique name',
       });
     }
-    seen.add(vmId);
+    seenVmIds.add(vmId);
   });
   findings.push(...collectAddressFindings(settings, source));
   const hasControl = [settings.vm, ...settings.peers].some(({ roles }) =>
@@ -151,7 +153,7 @@
   return findings;
 }
 
-/** Everything wrong with the settings file of a VM. */
+/** Returns all findings of the settings file of a VM. */
 export function collectVmFindings(value: unknown, source: string): readonly Finding[] {
   const findings = collectSchemaFindings(VM_SETTINGS_SCHEMA, value, source);
   return findings.length ? findings : collectVmReferenceFindings(value as VmSettings, source);
@@ -160,7 +162,7 @@
 /**
  * Parses JSON text.
  *
- * @throws SpoolplankError `invalid-settings` with one finding that names line and column.
+ * @throws SpoolplankError `invalid-settings` with one finding that states line and column.
  */
 export function parseJson(text: string, source: string): unknown {
   try {
@@ -168,23 +170,23 @@
   } catch (error) {
     const message = error instanceof Error ? error.message : String(error);
     const offset = Number(/position (\d+)/.exec(message)?.[1] ?? text.length);
-    const before = text.slice(0, offset).split('\n');
-    const place = `line ${before.length}, column ${(before.at(-1)?.length ?? 0) + 1}`;
+    const linesBefore = text.slice(0, offset).split('\n');
+    const position = `line ${linesBefore.length}, column ${(linesBefore.at(-1)?.length ?? 0) + 1}`;
     const finding: Finding = {
       source,
       pointer: '',
-      problem: `not JSON at ${place}`,
+      problem: `not JSON at ${position}`,
       expected: 'a JSON document',
     };
     throw new SpoolplankError('invalid-settings', {
-      detail: `${source}: ${place}`,
+      detail: `${source}: ${position}`,
       findings: [finding],
       cause: error,
     });
   }
 }
 
-/** Whether a pointer addresses a place the tree may have; used to explain edits. */
+/** Whether a string is a valid JSON pointer; used to check edits. */
 export function isTreePointer(pointer: string): boolean {
   return pointer === '' || (pointer.startsWith('/') && parsePointer(pointer).length > 0);
 }
--- a/packages/settings/src/vmSettings.ts
+++ b/packages/settings/src/vmSettings.ts
@@ -2,29 +2,32 @@
 
 export type Role = 'entry' | 'control';
 
-/** How a VM is found by the other VMs and by callers. */
+/** Where other VMs and callers reach a VM, and its roles. */
 export interface VmAddress {
   readonly vmId: string;
   readonly dataCentre: string;
   readonly host: string;
-  /** Where callers, backend servers and operators connect. */
+  /** Port for callers, backend servers and operators. */
   readonly callerPort: number;
-  /** Where the other VMs connect. */
+  /** Port for the other VMs. */
   readonly peerPort: number;
   readonly roles: readonly Role[];
 }
 
 export interface Timings {
-  /** A follower without a message for this long (to twice this long) seeks election. */
+  /**
+   * Minimum time without a message from the leader before a follower starts an election. A random
+   * time of up to the same length is added, so that elections rarely collide.
+   */
   readonly electionTimeoutMs: number;
   readonly heartbeatIntervalMs: number;
-  /** How long settings count as confirmed after the control group was asked. */
+  /** How long a confirmation of the settings by the control group is valid. */
   readonly settingsLeaseMs: number;
-  /** How long an announcement of a backend server holds. */
+  /** How long an announcement of a backend server is valid. */
   readonly announcementTtlMs: number;
-  /** How long callers keep an answer of `/v1/addresses`. */
+  /** How long callers may cache a response of `/v1/addresses`. */
   readonly addressTtlMs: number;
-  /** How long a request between VMs may take. */
+  /** Time-out of a request between VMs. */
   readonly peerTimeoutMs: number;
 }
 
@@ -41,15 +44,15 @@
 export interface VmSettings {
   readonly deployment: string;
   readonly vm: VmAddress;
-  /** Folder for state that must survive; needed for the role `control`. */
+  /** Folder for persistent state; required for the role `control`. */
   readonly dataFolder?: string;
-  /** Proves to other VMs that a message is of this deployment. */
+  /** Key with which VMs sign messages, to prove that they belong to the deployment. */
   readonly sharedKey: string;
-  /** SHA-256 digest, in hex, of the token operators use. */
+  /** SHA-256 digest, in hex, of the bearer token of operators. */
   readonly operatorTokenDigest: string;
-  /** SHA-256 digest, in hex, of the token with which backend servers announce themselves. */
+  /** SHA-256 digest, in hex, of the bearer token with which backend servers announce themselves. */
   readonly backendServerTokenDigest: string;
-  /** Every other VM of the deployment. */
+  /** All other VMs of the deployment. */
   readonly peers: readonly VmAddress[];
   readonly timings?: Partial<Timings>;
   readonly logLevel?: 'debug' | 'info' | 'warn' | 'error';
@@ -71,12 +74,12 @@
     dataCentre: {
       type: 'string',
       pattern: NAME_PATTERN,
-      description: 'Data centre that holds the VM.',
+      description: 'Data centre in which the VM runs.',
     },
     host: {
       type: 'string',
       format: 'ip',
-      description: 'IP number to listen on and be reached at.',
+      description: 'IP address on which the VM listens and is reached.',
     },
     callerPort: { ...PORT, description: 'TCP port for callers, backend servers and operators.' },
     peerPort: { ...PORT, description: 'TCP port for the other VMs.' },
@@ -85,7 +88,7 @@
       minItems: 1,
       uniqueItems: true,
       items: { enum: ['entry', 'control'] },
-      description: 'What the VM does.',
+      description: 'Roles of the VM.',
     },
   },
 };
@@ -106,13 +109,13 @@
     deployment: {
       type: 'string',
       pattern: NAME_PATTERN,
-      description: 'Name of the deployment; messages of another are refused.',
+      description: 'Name of the deployment; messages from other deployments are refused.',
     },
     vm: VM_ADDRESS_SCHEMA,
     dataFolder: {
       type: 'string',
       minLength: 1,
-      description: 'Folder for state that must survive; needed for the role control.',
+      description: 'Folder for persistent state; required for the role control.',
     },
     sharedKey: {
       type: 'string',
@@ -123,18 +126,18 @@
     operatorTokenDigest: {
       type: 'string',
       pattern: '^[0-9a-f]{64}$',
-      description: "SHA-256 digest, in hex, of the operators' token.",
+      description: 'SHA-256 digest, in hex, of the bearer token of operators.',
     },
     backendServerTokenDigest: {
       type: 'string',
       pattern: '^[0-9a-f]{64}$',
-      description: 'SHA-256 digest, in hex, of the token of backend servers.',
+      description: 'SHA-256 digest, in hex, of the bearer token of backend servers.',
     },
     peers: {
       type: 'array',
       maxItems: 5000,
       items: VM_ADDRESS_SCHEMA,
-      description: 'Every other VM.',
+      description: 'All other VMs of the deployment.',
     },
     timings: {
       type: 'object',
@@ -142,27 +145,31 @@
       properties: {
         electionTimeoutMs: {
           ...DURATION_MS,
-          description: 'Silence of the leader after which an election starts.',
+          description:
+            'Minimum time without a message from the leader before a follower starts an election; a random time is added.',
         },
         heartbeatIntervalMs: {
           ...DURATION_MS,
-          description: 'Time between messages of an idle leader.',
+          description: 'Interval between the heartbeats of an idle leader.',
+        },
+        settingsLeaseMs: {
+          ...DURATION_MS,
+          description: 'How long a confirmation of the settings by the control group is valid.',
         },
-        settingsLeaseMs: { ...DURATION_MS, description: 'How long settings count as confirmed.' },
         announcementTtlMs: {
           ...DURATION_MS,
-          description: 'How long an announcement of a backend server holds.',
+          description: 'How long an announcement of a backend server is valid.',
         },
         addressTtlMs: {
           ...DURATION_MS,
-          description: 'How long callers keep an answer of /v1/addresses.',
+          description: 'How long callers may cache a response of /v1/addresses.',
         },
-        peerTimeoutMs: { ...DURATION_MS, description: 'Longest request between VMs.' },
+        peerTimeoutMs: { ...DURATION_MS, description: 'Time-out of a request between VMs.' },
       },
     },
     logLevel: {
       enum: ['debug', 'info', 'warn', 'error'],
-      description: 'Least level that is logged.',
+      description: 'Lowest level that is logged.',
     },
   },
 };
