--- a/packages/shared/src/clock.ts
+++ b/packages/shared/src/clock.ts
@@ -1,31 +1,32 @@
-/** A source of time. Injected everywhere, so that a test decides when time passes. */
+/** A source of time. It is injected, so that tests control the passing of time. */
 export interface Clock {
   /**
-   * Monotonic time in milliseconds, the time included for which the VM was suspended; only
-   * differences mean something. It may run ahead, never behind: it is for what runs out, such as a
-   * lease that is held, a confirmation, or the age of what was heard.
+   * Monotonic time in milliseconds, including the time for which the VM was suspended. Only
+   * differences between readings are meaningful. It may run ahead of the real time but never behind
+   * it, so it is used for whatever expires: a lease that is held, a confirmation, the age of a
+   * message.
    */
   nowMs(): number;
   /**
-   * Monotonic time in milliseconds that never runs ahead, and stands still while the VM is
-   * suspended. It is for what must be waited out, such as a promise not to vote for somebody else.
-   * Only differences of two of its own readings mean something.
+   * Monotonic time in milliseconds that never runs ahead of the real time, and stops while the VM
+   * is suspended. It is used for whatever must not end early, such as a promise not to vote for
+   * another replica. Only differences between readings of this clock are meaningful.
    */
   steadyMs(): number;
-  /** Wall-clock time in milliseconds since the epoch; for people to read, never for decisions. */
+  /** Wall-clock time in milliseconds since the epoch; for display only, never for decisions. */
   wallMs(): number;
 }
 
 export interface ManualClock extends Clock {
-  /** Moves all times forward. */
+  /** Moves all clocks forward. */
   advance(durationMs: number): void;
-  /** Moves all but the steady time forward, as a suspension of the VM does. */
+  /** Moves all clocks except the steady one forward, as a suspension of the VM does. */
   suspend(durationMs: number): void;
-  /** Moves the wall clock alone, as a time correction would; may be negative. */
+  /** Steps only the wall clock, as a clock correction does; the offset may be negative. */
   jumpWall(offsetMs: number): void;
 }
 
-/** Creates a clock that stands still until it is advanced; for tests and deterministic runs. */
+/** Creates a clock that stops until it is advanced; for tests and deterministic simulations. */
 export function createManualClock(startMs = 0): ManualClock {
   let nowMs = startMs;
   let suspendedMs = 0;
--- a/packages/shared/src/errors.ts
+++ b/packages/shared/src/errors.ts
@@ -9,7 +9,7 @@
   readonly message: string;
 }
 
-/** The one table of error codes: HTTP status, default outcome, and message. */
+/** All error codes, each with its HTTP status, default outcome and message. */
 export const ERROR_TABLE = {
   unauthorized: {
     httpStatus: 401,
@@ -177,19 +177,19 @@
 export type ErrorCode = keyof typeof ERROR_TABLE;
 
 export interface SpoolplankErrorOptions {
-  /** Where it happened or what exactly was wrong; appended to the table's message. */
+  /** Details, such as the location or the exact cause; appended to the message of the table. */
   readonly detail?: string;
-  /** Overrides the table's outcome where the thrower knows better. */
+  /** Overrides the default outcome of the table. */
   readonly outcome?: Outcome;
-  /** When a retry makes sense, in milliseconds from now. */
+  /** Time after which the caller may retry. */
   readonly retryAfterMs?: number;
   readonly findings?: readonly Finding[];
-  /** With `not-leader`: the replica that is thought to lead. */
+  /** With `not-leader`: the replica that is the leader as far as this one knows. */
   readonly leaderId?: string;
   readonly cause?: unknown;
 }
 
-/** The base class of every error the product reports. */
+/** Base class of all errors that are reported to callers, operators or other VMs. */
 export class SpoolplankError extends Error {
   override readonly name: string = 'SpoolplankError';
 
@@ -217,19 +217,19 @@
   }
 }
 
-/** Whether a string is a code of the error table; for errors that arrive over the wire. */
+/** Whether a value is a code of the error table; used for errors that arrive over the network. */
 export function isErrorCode(code: unknown): code is ErrorCode {
   return typeof code === 'string' && Object.hasOwn(ERROR_TABLE, code);
 }
 
-/** Wraps anything thrown into a `SpoolplankError`, so that one handler can report it. */
+/** Wraps any thrown value in a `SpoolplankError`, so that one handler can report all errors. */
 export function toSpoolplankError(error: unknown): SpoolplankError {
   if (error instanceof SpoolplankError) return error;
   const detail = error instanceof Error ? error.message : String(error);
   return new SpoolplankError('internal', { detail, cause: error });
 }
 
-/** The JSON body of a refusal, as callers and operators see it. */
+/** The JSON body of an error response. */
 export interface ErrorBody {
   readonly error: {
     readonly code: ErrorCode;
@@ -242,7 +242,7 @@
   };
 }
 
-/** Renders an error for the wire. */
+/** Converts an error to the body of an error response. */
 export function toErrorBody(error: SpoolplankError, addresses?: readonly string[]): ErrorBody {
   return {
     error: {
@@ -257,7 +257,7 @@
   };
 }
 
-/** Reads an error back from the wire; a body of another shape becomes `internal`. */
+/** Parses the body of an error response; a body of another form becomes `internal`. */
 export function fromErrorBody(body: unknown): SpoolplankError {
   const error = (body as Partial<ErrorBody> | null)?.error;
   if (!error || !isErrorCode(error.code)) {
--- a/packages/shared/src/findings.ts
+++ b/packages/shared/src/findings.ts
@@ -1,16 +1,15 @@
-/** One thing wrong with an input, with its place. */
+/** A problem that validation found in an input, with its location. */
 export interface Finding {
-  /** The file or other source that was read. */
+  /** The file or other source of the input. */
   readonly source: string;
-  /** JSON pointer to the value (RFC 6901); the empty string is the whole document. */
+  /** JSON pointer (RFC 6901) to the invalid value; empty for the whole document. */
   readonly pointer: string;
-  /** What is wrong. */
   readonly problem: string;
-  /** What would be right, where that can be said. */
+  /** What is valid instead, if that can be stated. */
   readonly expected?: string;
 }
 
-/** Renders findings one a line, in the form `source#pointer: problem (expected ...)`. */
+/** Renders one finding per line, in the form `source#pointer: problem (expected ...)`. */
 export function formatFindings(findings: readonly Finding[]): string {
   return findings
     .map(({ source, pointer, problem, expected }) => {
--- a/packages/shared/src/json.ts
+++ b/packages/shared/src/json.ts
@@ -1,10 +1,10 @@
-/** A value that JSON can carry. */
+/** A value that can be represented in JSON. */
 export type JsonValue =
   string | number | boolean | null | readonly JsonValue[] | { readonly [key: string]: JsonValue };
 
 export type JsonObject = Readonly<Record<string, JsonValue>>;
 
-/** Whether a value is a JSON object, not an array and not null. */
+/** Whether a value is a JSON object, as opposed to an array or null. */
 export function isJsonObject(value: unknown): value is JsonObject {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
@@ -25,7 +25,7 @@
     .join('');
 }
 
-/** Renders JSON with sorted keys, so that equal values give equal text. */
+/** Serialises a value with sorted keys, so that equal values give equal text. */
 export function canonicalJson(value: unknown): string {
   return JSON.stringify(value, (_key, inner: unknown) => {
     if (!isJsonObject(inner)) return inner;
--- a/packages/shared/src/random.ts
+++ b/packages/shared/src/random.ts
@@ -1,17 +1,17 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** A source of random numbers. Injected, so that a run can be repeated from its seed. */
+/** A source of random numbers. It is injected, so that a run can be reproduced from its seed. */
 export interface Random {
   /** A number in [0, 1). */
   nextFloat(): number;
-  /** A whole number in [0, bound). */
+  /** An integer in [0, bound). */
   nextInt(bound: number): number;
 }
 
 const FLOAT_STEPS = 2 ** 30;
 
-/** Creates a random source whose numbers follow from the seed alone. */
+/** Creates a source of random numbers that are determined by the seed. */
 export function createSeededRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   return {
--- a/packages/shared/src/rendezvous.ts
+++ b/packages/shared/src/rendezvous.ts
@@ -3,8 +3,8 @@
 const WEIGHT_BYTES = 6;
 
 /**
- * Orders candidates for a key by highest random weight: every party that knows the same
- * candidates gets the same order, and one candidate more or less moves only its own keys.
+ * Orders candidates for a key by highest random weight. All VMs that know the same candidates
+ * compute the same order, and adding or removing a candidate moves only the keys of that candidate.
  *
  * Source: Thaler and Ravishankar, "A name-based mapping scheme for rendezvous", 1996.
  */
--- a/packages/vm/src/logger.ts
+++ b/packages/vm/src/logger.ts
@@ -1,4 +1,4 @@
-/** Logs: one JSON object a line on standard error, never a key or a prompt. */
+/** Structured log: one JSON object per line on standard error; never contains keys or prompts. */
 import { Logger } from 'tslog';
 
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
@@ -20,7 +20,7 @@
   readonly write?: (line: string) => void;
 }
 
-/** Numbers of tslog's levels. */
+/** Level numbers of tslog. */
 const LEVEL_NUMBERS: Readonly<Record<LogLevel, number>> = {
   debug: 2,
   info: 3,
@@ -28,7 +28,7 @@
   error: 5,
 };
 
-interface Line extends LogFields {
+interface LogLine extends LogFields {
   readonly event: string;
 }
 
@@ -38,13 +38,13 @@
     level: minLevel = 'info',
     write = (line: string) => process.stderr.write(line),
   } = options;
-  const logger = new Logger<Line>({
+  const logger = new Logger<LogLine>({
     type: 'hidden',
     minLevel: LEVEL_NUMBERS[minLevel],
     hideLogPositionForProduction: true,
   });
   logger.attachTransport(({ _meta: meta, ...record }) => {
-    const { 0: line } = record as unknown as Readonly<Record<string, Line>>;
+    const { 0: line } = record as unknown as Readonly<Record<string, LogLine>>;
     const fields = line ?? record;
     if (!meta) return;
     write(
--- a/packages/vm/src/vmContext.ts
+++ b/packages/vm/src/vmContext.ts
@@ -1,4 +1,4 @@
-/** What every part of a VM's process is given. */
+/** The dependencies that all components of a VM process share. */
 import { randomUUID } from 'node:crypto';
 import { createMetrics, createPeerClient, SYSTEM_CLOCK } from '@spoolplank/node';
 import type { Metrics, PeerClient, PeerTarget } from '@spoolplank/node';
@@ -12,7 +12,7 @@
 export interface VmContext {
   readonly settings: VmSettings;
   readonly timings: Timings;
-  /** Unique to this run of the process. */
+  /** Id of the process, different after each start. */
   readonly instance: string;
   readonly clock: Clock;
   readonly random: Random;
@@ -47,17 +47,17 @@
   };
 }
 
-/** Where another VM is reached by its peers. */
+/** Returns the address at which other VMs reach a VM. */
 export function toPeerTarget({ vmId, host, peerPort }: VmAddress): PeerTarget {
   return { vmId, host, port: peerPort };
 }
 
-/** Where a VM is reached by callers, as host:port. */
+/** Returns the address at which callers reach a VM, as host:port. */
 export function toCallerAddress({ host, callerPort }: VmAddress): string {
   return `${host}:${callerPort}`;
 }
 
-/** The VMs of the deployment that have a role, this one included. */
+/** Returns the VMs of the deployment that have a role, including this one. */
 export function listVmsWithRole({ vm, peers }: VmSettings, role: Role): readonly VmAddress[] {
   return [vm, ...peers].filter(({ roles }) => roles.includes(role));
 }
