--- a/packages/cli/__tests__/report.spec.ts
+++ b/packages/cli/__tests__/report.spec.ts
@@ -27,7 +27,7 @@
   findCauses([createRequest(), createRequest(overrides)], TARGETS)[1];
 
 describe('the cause of a request', () => {
-  it('tells apart what made it late', () => {
+  it('distinguishes the reasons for which a response was late', () => {
     assert.equal(causeOf({}), 'in-time');
     assert.equal(causeOf({ remainingMs: 18_900 }), 'late-on-arrival');
     assert.equal(causeOf({ firstByteMs: 900, waitedMs: 700 }), 'late-by-wait');
@@ -35,29 +35,29 @@
     assert.equal(causeOf({ longestPauseMs: 400 }), 'late-by-pause');
   });
 
-  it('adds to the time here what the caller had tried before', () => {
+  it('includes the time that the caller spent before the request arrived', () => {
     assert.equal(causeOf({ remainingMs: 19_700, firstByteMs: 300 }), 'late-by-first-event');
   });
 
-  it('is the code of the error where there is one, and else the outcome', () => {
+  it('is the outcome if the request was not served, with the error code if there is one', () => {
     assert.equal(causeOf({ outcome: 'refused', code: 'overloaded' }), 'refused (overloaded)');
     assert.equal(causeOf({ outcome: 'broken-off' }), 'broken-off');
   });
 });
 
-describe('a line of a log', () => {
+describe('a log line', () => {
   const LINE =
     '{"time":"2026-04-06T03:24:26.500Z","vmId":"vm1","event":"request-ended","requestId":"a",' +
     '"route":"r1","outcome":"served","firstByteMs":50,"waitedMs":0,"longestPauseMs":70,' +
     '"durationMs":2600,"remainingMs":20000}';
 
-  it('is read with what a collector put before it, by the second in which the request came', () => {
+  it('is parsed with the prefix of a log collector, and dated by the arrival of the request', () => {
     const request = readRequestEnd(`  1.2442 vm1 ${LINE}`);
     assert.equal(request?.isStream, true);
     assert.equal(request.second, Math.floor(Date.parse('2026-04-06T03:24:23.900Z') / 1000));
   });
 
-  it('is passed over when it is about something else, and reported when it is cut', () => {
+  it('is skipped if it is another event, and rejected if it is truncated', () => {
     assert.equal(readRequestEnd('{"event":"started"}'), undefined);
     assert.equal(readRequestEnd('no JSON at all'), undefined);
     assert.throws(() => readRequestEnd(LINE.slice(0, 90)), SyntaxError);
@@ -65,7 +65,7 @@
 });
 
 describe('the report', () => {
-  it('has a row for each span, the most frequent cause first, and a sum', () => {
+  it('has a row for each time span and a total, with the most frequent cause first', () => {
     const requests = [100, 101, 103].map((second) => createRequest({ second }));
     const text = renderReport({
       requests,
@@ -83,7 +83,7 @@
     );
   });
 
-  it('says so when there is nothing to report', () => {
+  it('states that there are no requests if the logs contain none', () => {
     assert.equal(
       renderReport({ requests: [], causes: [], spanS: 2 }),
       'no request ended in these logs',
--- a/packages/cli/src/commands/baseCommand.ts
+++ b/packages/cli/src/commands/baseCommand.ts
@@ -1,4 +1,4 @@
-/** What every command shares: flags, output, and how errors are printed. */
+/** The flags and the output that commands share. */
 import { readFileSync } from 'node:fs';
 import { Command, Flags } from '@oclif/core';
 import { SpoolplankError } from '@spoolplank/shared';
@@ -26,9 +26,9 @@
 }
 
 /**
- * Connects to the deployment that the flags name.
+ * Creates a client for the deployment at the addresses in the flags.
  *
- * @throws SpoolplankError `unauthorized` when no token was given.
+ * @throws SpoolplankError `unauthorized` when there is no operator token.
  */
 export function connect(flags: ConnectionFlags): OperatorClient {
   const file = flags['token-file'];
@@ -50,7 +50,7 @@
     this.log(JSON.stringify(value, null, 2));
   }
 
-  /** Prints JSON when asked to, else what a person reads. */
+  /** Prints the value as JSON if requested, else in its readable form. */
   protected print(value: JsonValue, isJson: boolean, render: () => string): void {
     if (isJson) this.printJson(value);
     else this.log(render());
--- a/packages/cli/src/commands/commandLine.ts
+++ b/packages/cli/src/commands/commandLine.ts
@@ -1,4 +1,4 @@
-/** Finds and runs a command; the one place where errors of the command line are printed. */
+/** Finds and runs a command. All errors of the command line are printed here. */
 import { tmpdir } from 'node:os';
 import { CommandHelp, Config } from '@oclif/core';
 import type { Command, Interfaces } from '@oclif/core';
@@ -34,7 +34,7 @@
 
 const HELP_FLAGS: ReadonlySet<string> = new Set(['--help', '-h', 'help']);
 
-/** The bundle holds no package folder, so oclif is handed the root package description. */
+/** The bundle contains no package.json that oclif could read, so its content is passed directly. */
 const ROOT_PACKAGE: Interfaces.PJSON = {
   name: 'spoolplank',
   version: PROGRAM_VERSION,
@@ -62,10 +62,12 @@
 function findCommand(
   args: readonly string[],
 ): { readonly name: string; readonly rest: readonly string[] } | undefined {
-  const two = args.slice(0, 2).join(' ');
-  if (Object.hasOwn(COMMANDS, two)) return { name: two, rest: args.slice(2) };
-  const [one = ''] = args;
-  return Object.hasOwn(COMMANDS, one) ? { name: one, rest: args.slice(1) } : undefined;
+  const twoWordName = args.slice(0, 2).join(' ');
+  if (Object.hasOwn(COMMANDS, twoWordName)) return { name: twoWordName, rest: args.slice(2) };
+  const [oneWordName = ''] = args;
+  return Object.hasOwn(COMMANDS, oneWordName)
+    ? { name: oneWordName, rest: args.slice(1) }
+    : undefined;
 }
 
 function renderHelp(name: string, command: CommandClass, config: Config): string {
@@ -73,7 +75,7 @@
     flag,
     { ...definition, name: flag },
   ]);
-  const described = {
+  const loadable = {
     id: name,
     args: {},
     aliases: [],
@@ -81,31 +83,32 @@
     strict: true,
     flags: Object.fromEntries(flags),
   };
-  return new CommandHelp(described as unknown as Command.Loadable, config, {
+  return new CommandHelp(loadable as unknown as Command.Loadable, config, {
     maxWidth: 100,
   }).generate();
 }
 
-const EXIT_BY_ERROR: Readonly<Record<string, number>> = {
+const EXIT_CODE_BY_ERROR: Readonly<Record<string, number>> = {
   'invalid-settings': EXIT_CODES.invalidSettings,
   'version-conflict': EXIT_CODES.conflict,
   unreachable: EXIT_CODES.unreachable,
 };
 
 function reportError(error: unknown): number {
-  const exit = (error as { readonly oclif?: { readonly exit?: number } } | null)?.oclif?.exit;
+  const oclifExitCode = (error as { readonly oclif?: { readonly exit?: number } } | null)?.oclif
+    ?.exit;
   if (error instanceof SpoolplankError) {
     const text = error.findings.length ? formatFindings(error.findings) : error.message;
     process.stderr.write(`${text}\n`);
-    return EXIT_BY_ERROR[error.code] ?? EXIT_CODES.failed;
+    return EXIT_CODE_BY_ERROR[error.code] ?? EXIT_CODES.failed;
   }
   const isExitOnly = (error as { readonly code?: string } | null)?.code === 'EEXIT';
   if (!isExitOnly)
     process.stderr.write(`${error instanceof Error ? error.message : String(error)}\n`);
-  return exit ?? EXIT_CODES.usage;
+  return oclifExitCode ?? EXIT_CODES.usage;
 }
 
-/** Runs the command line and resolves with the exit code. */
+/** Runs a command and resolves with the exit code of the process. */
 export async function runCommandLine(args: readonly string[]): Promise<number> {
   const found = findCommand(args);
   if (!found) {
--- a/packages/cli/src/commands/configCommands.ts
+++ b/packages/cli/src/commands/configCommands.ts
@@ -1,4 +1,4 @@
-/** `spoolplank config get|set|validate|history`. */
+/** `spoolplank config get|set|validate|history`: reads and changes the settings. */
 import { randomUUID } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import { userInfo } from 'node:os';
@@ -14,7 +14,7 @@
 import type { OperatorClient } from './operatorClient';
 
 const REACH_POLL_MS = 100;
-const REACH_WITHIN_MS = 10_000;
+const REACH_TIMEOUT_MS = 10_000;
 
 interface ConfigReply {
   readonly version: number;
@@ -56,18 +56,23 @@
     const reply = (await connect(flags).get(
       `/v1/config?${query.toString()}`,
     )) as unknown as ConfigReply;
-    const { origins, ...plain } = reply;
-    this.print((flags.explain ? reply : plain) as unknown as JsonValue, flags.json, () => {
-      const head = `version ${reply.version}${reply.isConfirmed ? '' : ' (not confirmed)'}`;
-      if (!flags.explain || !origins) return `${head}\n${JSON.stringify(reply.value, null, 2)}`;
-      const values = reply.value as Readonly<Record<string, JsonValue>>;
-      return [
-        head,
-        ...Object.entries(origins).map(
-          ([name, origin]) => `${name} = ${JSON.stringify(values[name])}  from ${origin}`,
-        ),
-      ].join('\n');
-    });
+    const { origins, ...replyWithoutOrigins } = reply;
+    this.print(
+      (flags.explain ? reply : replyWithoutOrigins) as unknown as JsonValue,
+      flags.json,
+      () => {
+        const versionLine = `version ${reply.version}${reply.isConfirmed ? '' : ' (not confirmed)'}`;
+        if (!flags.explain || !origins)
+          return `${versionLine}\n${JSON.stringify(reply.value, null, 2)}`;
+        const values = reply.value as Readonly<Record<string, JsonValue>>;
+        return [
+          versionLine,
+          ...Object.entries(origins).map(
+            ([name, origin]) => `${name} = ${JSON.stringify(values[name])}  from ${origin}`,
+          ),
+        ].join('\n');
+      },
+    );
   }
 }
 
@@ -167,12 +172,12 @@
   }
 
   private static async waitForReach(client: OperatorClient, version: number): Promise<ReachReport> {
-    const untilMs = Date.now() + REACH_WITHIN_MS;
+    const deadlineMs = Date.now() + REACH_TIMEOUT_MS;
     for (;;) {
       const reach = (await client.get(
         `/v1/config/reach?version=${version}`,
       )) as unknown as ReachReport;
-      if (reach.pending.length === 0 || Date.now() > untilMs) return reach;
+      if (reach.pending.length === 0 || Date.now() > deadlineMs) return reach;
       await delay(REACH_POLL_MS);
     }
   }
@@ -222,8 +227,8 @@
     this.print(history, flags.json, () =>
       changes
         .map(({ version, wallMs, author, changeId, edits, note }) => {
-          const why = note === undefined ? '' : `  (${note})`;
-          return `${version}  ${new Date(wallMs).toISOString()}  ${author}  ${changeId}${why}\n    ${JSON.stringify(edits)}`;
+          const annotation = note === undefined ? '' : `  (${note})`;
+          return `${version}  ${new Date(wallMs).toISOString()}  ${author}  ${changeId}${annotation}\n    ${JSON.stringify(edits)}`;
         })
         .join('\n'),
     );
--- a/packages/cli/src/commands/daemonCommand.ts
+++ b/packages/cli/src/commands/daemonCommand.ts
@@ -6,7 +6,7 @@
   settings: Flags.string({ char: 's', description: "The VM's settings file.", required: true }),
 };
 
-/** `spoolplank entry`: only reached with --help or unusual arguments; see `main`. */
+/** `spoolplank entry`; `main` runs the daemon directly unless the arguments are unusual. */
 export class EntryCommand extends Command {
   static override summary = 'Run this VM, which takes requests of callers.';
 
--- a/packages/cli/src/commands/operatorClient.ts
+++ b/packages/cli/src/commands/operatorClient.ts
@@ -1,10 +1,10 @@
-/** How the command line talks to a deployment. */
+/** HTTP client for the operator requests of the command line. */
 import { callJson, parseAddress } from '@spoolplank/node';
 import { fromErrorBody, SpoolplankError } from '@spoolplank/shared';
 import type { JsonValue } from '@spoolplank/shared';
 
 export interface OperatorClientOptions {
-  /** Addresses of entry VMs as host:port; the first that answers is used. */
+  /** Addresses of entry VMs as host:port; the first reachable one is used. */
   readonly addresses: readonly string[];
   readonly token: string;
 }
@@ -17,7 +17,7 @@
 const TIMEOUT_MS = 12_000;
 
 export function createOperatorClient({ addresses, token }: OperatorClientOptions): OperatorClient {
-  async function callOne(
+  async function callAddress(
     address: string,
     method: string,
     path: string,
@@ -35,12 +35,12 @@
     return answer.json;
   }
 
-  /** Goes on to the next address only when one could not be reached: every call may be repeated. */
+  /** Tries the next address if one is unreachable; all operator requests are safe to repeat. */
   async function call(method: string, path: string, json?: JsonValue): Promise<JsonValue> {
     let lastError = new SpoolplankError('unreachable', { detail: 'No address was given.' });
     for (const address of addresses) {
       try {
-        return await callOne(address, method, path, json);
+        return await callAddress(address, method, path, json);
       } catch (error) {
         if (!(error instanceof SpoolplankError) || error.code !== 'unreachable') throw error;
         lastError = error;
--- a/packages/cli/src/commands/programVersion.ts
+++ b/packages/cli/src/commands/programVersion.ts
@@ -1,4 +1,4 @@
 import packageDescription from '../../package.json';
 
-/** Version of the program, from its package description. */
+/** Version of the program, from package.json. */
 export const PROGRAM_VERSION: string = packageDescription.version;
--- a/packages/cli/src/commands/recoverCommand.ts
+++ b/packages/cli/src/commands/recoverCommand.ts
@@ -1,4 +1,4 @@
-/** `spoolplank recover`. */
+/** `spoolplank recover`: recovers the control group after a permanent loss of its majority. */
 import { Flags } from '@oclif/core';
 import { renderRecovery } from '@spoolplank/controller';
 import type { RecoveryReport } from '@spoolplank/controller';
--- a/packages/cli/src/commands/reportCommand.ts
+++ b/packages/cli/src/commands/reportCommand.ts
@@ -1,4 +1,4 @@
-/** `spoolplank report FILE...`. */
+/** `spoolplank report FILE...`: explains late and lost requests from the logs of entry VMs. */
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
 import { Args, Command, Flags } from '@oclif/core';
@@ -12,13 +12,13 @@
 const DEFAULT_PAUSE_MS = 200;
 const DEFAULT_SPAN_S = 2;
 
-interface ReadLog {
+interface ParsedLog {
   readonly requests: readonly LoggedRequest[];
-  /** Lines about the end of a request that could not be read. */
+  /** Number of `request-ended` lines that could not be parsed. */
   readonly unreadable: number;
 }
 
-async function readLog(file: string): Promise<ReadLog> {
+async function readLog(file: string): Promise<ParsedLog> {
   const requests: LoggedRequest[] = [];
   let unreadable = 0;
   try {
@@ -38,7 +38,7 @@
   return { requests, unreadable };
 }
 
-/** Says for logs of entry VMs what became of requests, second by second, and why. */
+/** Reports the outcomes of requests over time, and their causes, from the logs of entry VMs. */
 export class ReportCommand extends Command {
   static override summary = 'Say from logs of entry VMs which requests were late or lost, and why.';
 
--- a/packages/cli/src/report/renderReport.ts
+++ b/packages/cli/src/report/renderReport.ts
@@ -1,24 +1,24 @@
-/** The report as text: a row for each span of seconds, a column for each cause. */
+/** Renders the report as a text table: one row per time span, one column per cause. */
 import type { LoggedRequest } from './requestLog';
 
 export interface ReportOptions {
   readonly requests: readonly LoggedRequest[];
-  /** The cause of each request, in the same order. */
+  /** The cause of each request, in the order of `requests`. */
   readonly causes: readonly string[];
-  /** Seconds of one row. */
+  /** Length of the time span of one row, in seconds. */
   readonly spanS: number;
 }
 
 type Counts = Map<string, number>;
 
-function addOne(counts: Counts, cause: string): void {
+function incrementCount(counts: Counts, cause: string): void {
   counts.set(cause, (counts.get(cause) ?? 0) + 1);
 }
 
-/** Causes, the most frequent first. */
+/** Returns the distinct causes, the most frequent first. */
 function rankCauses(causes: readonly string[]): readonly string[] {
   const counts: Counts = new Map();
-  causes.forEach((cause) => addOne(counts, cause));
+  causes.forEach((cause) => incrementCount(counts, cause));
   return [...counts].sort((a, b) => b[1] - a[1]).map(([cause]) => cause);
 }
 
@@ -31,20 +31,23 @@
   );
 }
 
-/** Renders the table; its times are seconds since the first request. */
+/** Renders the report; its times are seconds since the arrival of the first request. */
 export function renderReport({ requests, causes, spanS }: ReportOptions): string {
   if (requests.length === 0) return 'no request ended in these logs';
-  const firstS = requests.reduce((least, { second }) => Math.min(least, second), Infinity);
+  const firstSecond = requests.reduce(
+    (earliest, { second }) => Math.min(earliest, second),
+    Infinity,
+  );
   const columns = rankCauses(causes);
   const spans = new Map<number, Counts>();
   requests.forEach(({ second }, index) => {
-    const span = Math.floor((second - firstS) / spanS) * spanS;
+    const span = Math.floor((second - firstSecond) / spanS) * spanS;
     const counts: Counts = spans.get(span) ?? new Map<string, number>();
     spans.set(span, counts);
-    addOne(counts, causes[index] ?? '');
+    incrementCount(counts, causes[index] ?? '');
   });
   const total: Counts = new Map();
-  causes.forEach((cause) => addOne(total, cause));
+  causes.forEach((cause) => incrementCount(total, cause));
   const toRow = (name: string, counts: Counts) => [
     name,
     ...columns.map((cause) => String(counts.get(cause) ?? 0)),
--- a/packages/cli/src/report/requestLog.ts
+++ b/packages/cli/src/report/requestLog.ts
@@ -1,20 +1,20 @@
-/** Reads the ends of requests out of the logs of entry VMs. */
+/** Parses `request-ended` events in the logs of entry VMs. */
 import { isJsonObject } from './jsonObject';
 
-/** How one request ended, as an entry VM logged it. */
+/** A `request-ended` event of an entry VM. */
 export interface LoggedRequest {
-  /** Second of the wall clock in which it arrived at the entry VM. */
+  /** Wall-clock time at which the request arrived at the entry VM, in seconds since the epoch. */
   readonly second: number;
   readonly vmId: string;
   readonly route: string;
   readonly outcome: string;
-  /** Code of this system's own error; empty without one. */
+  /** Code of the error table; empty if there was no error of this system. */
   readonly code: string;
   readonly isStream: boolean;
   readonly firstByteMs: number | null;
   readonly waitedMs: number;
   readonly longestPauseMs: number;
-  /** Time that the caller still had when the request arrived; null when it did not say. */
+  /** Time left until the caller's deadline when the request arrived; null if it stated none. */
   readonly remainingMs: number | null;
 }
 
@@ -25,35 +25,35 @@
   return typeof value === 'number' ? value : fallback;
 }
 
-function textOf(value: unknown): string {
+function stringOrEmpty(value: unknown): string {
   return typeof value === 'string' ? value : '';
 }
 
 function parseObject(line: string): Readonly<Record<string, unknown>> | undefined {
-  // Collectors put a time or a name before the line.
+  // Log collectors prefix the line with a time or a name.
   const value: unknown = JSON.parse(line.slice(Math.max(0, line.indexOf('{'))));
   return isJsonObject(value) ? value : undefined;
 }
 
 /**
- * A line of a log as a request's end; undefined for any other line.
+ * Parses a `request-ended` line of a log; returns undefined for any other line.
  *
- * @throws SyntaxError for a line that is about a request's end and cannot be read, as one that
- * a collector cut in two.
+ * @throws SyntaxError for a `request-ended` line that cannot be parsed, such as one that a log
+ * collector truncated.
  */
 export function readRequestEnd(line: string): LoggedRequest | undefined {
   if (!line.includes(REQUEST_END)) return undefined;
   const fields = parseObject(line);
   if (fields?.event !== REQUEST_END) return undefined;
-  const endedAtMs = Date.parse(textOf(fields.time));
+  const endedAtMs = Date.parse(stringOrEmpty(fields.time));
   const durationMs = numberOr(fields.durationMs, 0);
-  if (Number.isNaN(endedAtMs)) throw new SyntaxError('the line has no time');
+  if (Number.isNaN(endedAtMs)) throw new SyntaxError('the line has no valid time');
   return {
     second: Math.floor((endedAtMs - durationMs) / MS_PER_S),
-    vmId: textOf(fields.vmId),
-    route: textOf(fields.route),
-    outcome: textOf(fields.outcome),
-    code: textOf(fields.code),
+    vmId: stringOrEmpty(fields.vmId),
+    route: stringOrEmpty(fields.route),
+    outcome: stringOrEmpty(fields.outcome),
+    code: stringOrEmpty(fields.code),
     isStream: fields.longestPauseMs !== undefined,
     firstByteMs: numberOr(fields.firstByteMs, null),
     waitedMs: numberOr(fields.waitedMs, 0),
--- a/packages/cli/src/vm/runVm.ts
+++ b/packages/cli/src/vm/runVm.ts
@@ -1,4 +1,4 @@
-/** Runs a VM from its settings file until it is asked to end. */
+/** Runs a VM from its settings file until it receives SIGTERM or SIGINT. */
 import { readFileSync } from 'node:fs';
 import { collectVmFindings, parseJson } from '@spoolplank/settings';
 import type { Role, VmSettings } from '@spoolplank/settings';
@@ -15,9 +15,9 @@
 } as const;
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates the settings file of a VM.
  *
- * @throws SpoolplankError `invalid-settings` with every finding.
+ * @throws SpoolplankError `invalid-settings` with all findings, or if the file cannot be read.
  */
 export function readVmSettings(file: string): VmSettings {
   let text: string;
@@ -39,20 +39,20 @@
   const findings = error instanceof SpoolplankError ? error.findings : [];
   const message = error instanceof Error ? error.message : String(error);
   process.stderr.write(`${findings.length ? formatFindings(findings) : message}\n`);
-  const isSettings = error instanceof SpoolplankError && error.code === 'invalid-settings';
-  process.exit(isSettings ? EXIT_CODES.invalidSettings : EXIT_CODES.failed);
+  const isInvalidSettings = error instanceof SpoolplankError && error.code === 'invalid-settings';
+  process.exit(isInvalidSettings ? EXIT_CODES.invalidSettings : EXIT_CODES.failed);
 }
 
-/** Runs the VM of a settings file; ends the process. */
-export async function runVm(file: string, neededRole: Role): Promise<void> {
+/** Runs the VM of a settings file. The first signal ends it gracefully, the second at once. */
+export async function runVm(file: string, requiredRole: Role): Promise<void> {
   try {
     const settings = readVmSettings(file);
-    if (!settings.vm.roles.includes(neededRole)) {
+    if (!settings.vm.roles.includes(requiredRole)) {
       const finding = {
         source: file,
         pointer: '/vm/roles',
-        problem: `lacks ${neededRole}`,
-        expected: neededRole,
+        problem: `the role ${requiredRole} is missing`,
+        expected: requiredRole,
       };
       throw new SpoolplankError('invalid-settings', { findings: [finding] });
     }
@@ -60,8 +60,8 @@
     let signals = 0;
     const onSignal = () => {
       signals += 1;
-      const ending = signals === 1 ? vm.shutDown() : vm.stopNow();
-      ending.then(() => process.exit(EXIT_CODES.ok)).catch(reportAndExit);
+      const stopped = signals === 1 ? vm.shutDown() : vm.stopNow();
+      stopped.then(() => process.exit(EXIT_CODES.ok)).catch(reportAndExit);
     };
     process.on('SIGTERM', onSignal);
     process.on('SIGINT', onSignal);
--- a/packages/cli/src/vm/vm.ts
+++ b/packages/cli/src/vm/vm.ts
@@ -1,4 +1,4 @@
-/** One VM's process: its roles, its listeners, its end. */
+/** The process of one VM: starts and stops its roles and its servers. */
 import type { Server } from 'node:http';
 import { closeServer, listenForPeers } from '@spoolplank/node';
 import type { PeerMethod } from '@spoolplank/node';
@@ -11,11 +11,11 @@
 import { createVmContext } from '@spoolplank/vm';
 
 export interface Vm {
-  /** Version of the settings in force here. */
+  /** Version of the settings in force on this VM. */
   settingsVersion(): number;
-  /** Ends gracefully: resolves when every request has ended. */
+  /** Shuts down gracefully: waits until all requests have ended, then stops the VM. */
   shutDown(): Promise<void>;
-  /** Ends now; resolves with the number of requests that were cut off. */
+  /** Stops at once; resolves with the number of requests that were aborted. */
   stopNow(): Promise<number>;
 }
 
@@ -25,7 +25,7 @@
 /**
  * Starts a VM.
  *
- * @throws SpoolplankError `storage-damaged` when its data folder cannot be trusted.
+ * @throws SpoolplankError `storage-damaged` when a file in its data folder is damaged.
  */
 export async function startVm(
   settings: VmSettings,
@@ -74,16 +74,16 @@
     callerPort: vm.callerPort,
     peerPort: vm.peerPort,
   });
-  // The group may take long to be found; the listeners are open meanwhile and say so.
+  // Joining the control group may take long. It is not awaited, so that the VM answers requests.
   control?.start().catch((error: unknown) => onFatal(error as SpoolplankError));
 
   async function stopNow(): Promise<number> {
-    const cut = await entry.stop();
+    const cutRequestCount = await entry.stop();
     await control?.stop();
     await closeServer(peerServer, true);
     context.peers.close();
-    logger.info('vm-stopped', { cutRequests: cut });
-    return cut;
+    logger.info('vm-stopped', { cutRequests: cutRequestCount });
+    return cutRequestCount;
   }
 
   return {
