--- a/packages/node/src/fileStorage.ts
+++ b/packages/node/src/fileStorage.ts
@@ -77,7 +77,7 @@
     return handle;
   }
 
-  /** Removes the bytes of a failed write, so that the log ends with a complete record. */
+  /** Truncates the log after its last complete record; a failed write may leave a torn one. */
   async function truncateLog(): Promise<void> {
     const file = await open(logPath, 'r+');
     await file.truncate(logBytes);
--- a/packages/node/src/httpClient.ts
+++ b/packages/node/src/httpClient.ts
@@ -26,7 +26,7 @@
   readonly agent?: Agent;
   readonly signal?: AbortSignal;
   /** Called when the connection is open: from then on, bytes of the request may have been sent. */
-  readonly onMaySend?: () => void;
+  readonly onConnected?: () => void;
 }
 
 export interface HttpAnswer {
@@ -59,7 +59,7 @@
 export function openCall(options: HttpCallOptions): Promise<IncomingMessage> {
   const { endpoint, method, path, headers, body, timeoutMs = DEFAULT_TIMEOUT_MS, signal } = options;
   return new Promise((resolve, reject) => {
-    let maySend = false;
+    let isConnected = false;
     const clientRequest = startRequest({
       host: endpoint.host,
       port: endpoint.port,
@@ -72,24 +72,24 @@
       agent: options.agent ?? SHARED_AGENT,
       signal,
     });
-    const markMaySend = () => {
-      maySend = true;
-      options.onMaySend?.();
+    const markConnected = () => {
+      isConnected = true;
+      options.onConnected?.();
     };
     const timer = setTimeout(
       () => clientRequest.destroy(new Error(`no answer within ${timeoutMs} ms`)),
       timeoutMs,
     );
     clientRequest.on('socket', (socket) => {
-      if (socket.connecting) socket.once('connect', markMaySend);
-      else markMaySend();
+      if (socket.connecting) socket.once('connect', markConnected);
+      else markConnected();
     });
     clientRequest.on('error', (error) => {
       clearTimeout(timer);
       reject(
         new SpoolplankError('unreachable', {
           detail: `${endpoint.host}:${endpoint.port}: ${error.message}`,
-          outcome: maySend ? 'unknown' : 'not-run',
+          outcome: isConnected ? 'unknown' : 'not-run',
           cause: error,
         }),
       );
--- a/packages/node/src/recordFile.ts
+++ b/packages/node/src/recordFile.ts
@@ -4,7 +4,7 @@
  *     magic u32 | length u32 | CRC-32 of payload u32 | CRC-32 of the 12 bytes before u32 | payload
  *
  * Payloads are JSON and contain no zero byte. A write interrupted by a power loss therefore leaves
- * a torn record, which extends beyond the end of the file or ends in zeros and is ignored.
+ * a torn record, which extends beyond the end of the file or ends in zeros and is discarded.
  * Any other mismatch is corruption, which is reported with its offset rather than repaired.
  */
 import { crc32 } from 'node:zlib';
--- a/packages/shared/src/clock.ts
+++ b/packages/shared/src/clock.ts
@@ -26,7 +26,7 @@
   jumpWall(offsetMs: number): void;
 }
 
-/** Creates a clock that stops until it is advanced; for tests and deterministic simulations. */
+/** Creates a clock that moves only when it is advanced; for tests and simulations. */
 export function createManualClock(startMs = 0): ManualClock {
   let nowMs = startMs;
   let suspendedMs = 0;
