--- a/packages/consensus/src/readyStore.ts
+++ b/packages/consensus/src/readyStore.ts
@@ -3,14 +3,18 @@
 import type { Ready } from './replica';
 import type { ReplicaStorage } from './storage';
 
-/** Saves the output of a replica to disk, retrying for as long as the disk is full. */
+/**
+ * Saves the state that a replica hands out in a `Ready` to disk. While the disk is full, it retries
+ * until there is space.
+ */
 export interface ReadyStore {
-  /** Whether the replica is blocked by a full disk. */
+  /** Whether the disk is full, which blocks the replica until there is space. */
   readonly isFull: boolean;
   /**
-   * Resolves once all state of a `Ready` is on disk.
+   * Resolves once all state of a `Ready` is on disk. A full disk is retried and causes no error,
+   * unless the replica has been stopped.
    *
-   * @throws SpoolplankError any storage error, but `storage-full` only after a stop.
+   * @throws SpoolplankError for any other storage error, and `storage-full` after a stop.
    */
   store(ready: Ready): Promise<void>;
 }
@@ -23,6 +27,7 @@
   readonly onStorageState?: (error: SpoolplankError | null) => void;
 }
 
+/** Delay between two attempts while the disk is full. */
 const RETRY_MS = 1000;
 
 export function createReadyStore(options: ReadyStoreOptions): ReadyStore {
--- a/packages/entry/src/admission/backoffWaits.ts
+++ b/packages/entry/src/admission/backoffWaits.ts
@@ -1,4 +1,8 @@
-/** Delays requests while all servers that could run them back off, or refuses them with a retry. */
+/**
+ * Handles requests while all servers that could run them are in backoff, which is a time for which
+ * a server asked this VM to send it nothing. A short backoff is waited for; for a longer one, the
+ * request is refused and its caller is told when to retry.
+ */
 import { isBackoffWorthWaiting } from '@spoolplank/routing';
 import type { BackoffTable } from '@spoolplank/routing';
 import { SpoolplankError } from '@spoolplank/shared';
@@ -13,11 +17,11 @@
 
 export interface BackoffWaits {
   /**
-   * Waits for the end of a short backoff. `backoffEndsInMs` returns the time until the first
-   * backoff ends, or 0 if a server is available.
+   * Waits until a server is out of backoff. `backoffEndsInMs` returns the time until the earliest
+   * end of a backoff, or 0 if some server is available.
    *
-   * @throws SpoolplankError with the time after which the caller should retry, if the wait would be
-   *   too long. The request has not run.
+   * @throws SpoolplankError if the wait would be too long, with the time after which the caller
+   *   should retry. The request has not run.
    */
   wait(admitted: AdmittedRequest, backoffEndsInMs: () => number): Promise<void>;
 }
@@ -27,14 +31,17 @@
     async wait({ service, request, answer, endsAtMs }, backoffEndsInMs) {
       let backoffMs = backoffEndsInMs();
       while (backoffMs > 0 && !answer.isClosed) {
-        const turnInMs = backoffs.retryAfterMs(service, backoffMs);
+        // Later than the end of the backoff if other requests were assigned the times before.
+        const retryInMs = backoffs.retryAfterMs(service, backoffMs);
         const nowMs = clock.nowMs();
         const waitedMs = nowMs - request.arrivedAtMs;
-        if (!isBackoffWorthWaiting({ turnInMs, remainingMs: endsAtMs - nowMs, waitedMs })) {
-          const detail = `All servers back off, the first one for ${Math.ceil(backoffMs)} ms.`;
-          throw new SpoolplankError('no-backend-server', { detail, retryAfterMs: turnInMs });
+        if (
+          !isBackoffWorthWaiting({ turnInMs: retryInMs, remainingMs: endsAtMs - nowMs, waitedMs })
+        ) {
+          const detail = `All servers back off; the earliest is available in ${Math.ceil(backoffMs)} ms.`;
+          throw new SpoolplankError('no-backend-server', { detail, retryAfterMs: retryInMs });
         }
-        await delay(turnInMs);
+        await delay(retryInMs);
         backoffMs = backoffEndsInMs();
       }
     },
--- a/packages/entry/src/dispatch/backendOperations.ts
+++ b/packages/entry/src/dispatch/backendOperations.ts
@@ -12,10 +12,11 @@
 export interface BackendCall {
   readonly target: BackendTarget;
   readonly request: CallerRequest;
+  /** Name of the caller's organisation; null when it has none. */
   readonly organisation: string | null;
   /** Time that the backend server has for the request. */
   readonly remainingMs: number;
-  /** Engines that the request passes through; the first one is the target. */
+  /** Stages of the path: engines, each with its layers; the first engine is the target. */
   readonly stages?: readonly PathStage[];
   /** Id of the event after which a stream resumes; null to start from the beginning. */
   readonly resumeAfter: string | null;
@@ -27,6 +28,7 @@
   readonly hasPermit?: boolean;
 }
 
+/** Load that a backend server reports with a response, as numbers of requests. */
 export interface ReportedBackendLoad {
   readonly running: number;
   readonly queued: number;
@@ -48,7 +50,10 @@
   readonly load: ReportedBackendLoad | null;
   /** Time for which the backend server asks this VM to send nothing; null when it asks for none. */
   readonly backoffMs: number | null;
-  /** Rate limit directive; null when it is unreadable or does not come from the target itself. */
+  /**
+   * What the response says about the target's rate limit: a limit, or none. Null when it cannot be
+   * read or does not come from the target itself.
+   */
   readonly limit: LimitDirective | null;
   readonly body: Readable;
 }
@@ -59,11 +64,15 @@
   readonly address: string;
 }
 
+/** What the first engine of paths reports about the requests that it runs. */
 export interface EngineReport {
   readonly stalled: readonly StalledRequest[];
 }
 
-/** `unfit`: a stage could not take over its layers; `address` names it. */
+/**
+ * Result of moving a stream to another path. `unfit`: the engine at `address` could not take over
+ * its layers. `unknown-request`: the first engine does not run the stream.
+ */
 export type RepairOutcome =
   | { readonly kind: 'repaired' }
   | { readonly kind: 'unfit'; readonly address: string | null }
@@ -79,6 +88,7 @@
    * @throws SpoolplankError `unreachable`; its outcome is `not-run` when nothing was sent.
    */
   open(call: BackendCall): Promise<BackendResponse>;
+  /** Asks the first engine of a path which of its requests are stalled, and on which engine. */
   report(target: BackendTarget, timeoutMs: number): Promise<EngineReport>;
   /** Whether a new connection to the address is accepted within the timeout. */
   isReachable(address: string, timeoutMs: number): Promise<boolean>;
--- a/packages/entry/src/dispatch/chainCatalog.ts
+++ b/packages/entry/src/dispatch/chainCatalog.ts
@@ -1,4 +1,8 @@
-/** The chains of each data centre, computed from its engines and cached until these change. */
+/**
+ * The chains of each data centre, computed from its engines and cached until these change. A chain
+ * is a sequence of engines that together hold all layers of a model; it is identified by its first
+ * engine, and every request to it is sent to that engine.
+ */
 import type { BackendFact } from '@spoolplank/membership';
 import { findStageChains, rateCapacities } from '@spoolplank/routing';
 import type { CapacityEngine, ModelDescription, PathStage, StageEngine } from '@spoolplank/routing';
@@ -32,11 +36,12 @@
 /** The chains of a data centre with the inputs that they were computed from. */
 interface CachedChains {
   readonly facts: readonly BackendFact[];
-  /** Slowdown of each engine, or `-` for an excluded one. */
+  /** Slowdown of each engine, or `-` for an excluded engine, in the order of `facts`. */
   readonly engineStates: string;
   readonly chains: readonly RatedChain[];
 }
 
+/** The backend facts of a service by data centre, for one revision of the routing view. */
 interface CachedGroups {
   readonly revision: number;
   readonly groups: ReadonlyMap<string, readonly BackendFact[]>;
@@ -116,20 +121,21 @@
     facts: readonly BackendFact[],
     model: ModelDescription,
   ): readonly RatedChain[] {
-    const conditions = facts
+    const engineStates = facts
       .map(({ instanceId }) =>
         isAvoided(instanceId) ? '-' : view.slowdownOf(instanceId).toFixed(0),
       )
       .join(' ');
     const known = cache.get(dataCentre);
-    // A search takes about 5 ms for 45 engines, so changes in other data centres do not trigger it.
+    // A search takes about 5 ms for 45 engines, so it is repeated only when an engine of this data
+    // centre has changed.
     const isSame =
-      known?.engineStates === conditions &&
+      known?.engineStates === engineStates &&
       known.facts.length === facts.length &&
       known.facts.every((fact, index) => fact === facts[index]);
     if (isSame) return known.chains;
     const chains = rateChains(facts, model);
-    cache.set(dataCentre, { facts, engineStates: conditions, chains });
+    cache.set(dataCentre, { facts, engineStates, chains });
     return chains;
   }
 
--- a/packages/entry/src/dispatch/chainChoice.ts
+++ b/packages/entry/src/dispatch/chainChoice.ts
@@ -1,4 +1,7 @@
-/** Selects a chain for a stream among those of all data centres, by load. */
+/**
+ * Selects a chain for a stream among the chains of all data centres, by load. A chain is a sequence
+ * of engines that together hold all layers of a model, identified by its first engine.
+ */
 import type { ModelDescription, PathStage } from '@spoolplank/routing';
 import type { Random } from '@spoolplank/shared';
 import { createChainCatalog } from './chainCatalog';
@@ -15,7 +18,9 @@
   readonly ownInFlight: (headId: string) => number;
   /** Number of entries that share the chains, including this one. */
   readonly entries: () => number;
-  /** Estimate of the requests that other entries have started there but not reported yet. */
+  /**
+   * Estimate of the requests that other entries have started on that chain but not reported yet.
+   */
   readonly unseenInFlight: (headId: string) => number;
   /** Recent time to first event on the chain with the given first engine, in milliseconds. */
   readonly firstEventMs: (headId: string) => number;
@@ -32,17 +37,21 @@
   /** First engine of the chain, which identifies the chain. */
   readonly headId: string;
   readonly stages: readonly PathStage[];
-  /** Requests that fit into its memory and into the slots of its first engine. */
+  /** Requests of usual size that fit into the chain's memory and the slots of its first engine. */
   readonly capacity: number;
-  /** Requests in flight there, as far as this entry knows. */
+  /** Requests in flight on the chain, as far as this entry knows. */
   readonly inFlight: number;
   /** VM that granted the slot; null when this VM selected the chain itself. */
   readonly grantedBy: string | null;
   /** Whether the slot includes a permit under the rate limit that the first engine named. */
   readonly hasPermit: boolean;
-  /** Whether the chain can take a new stream. */
+  /**
+   * Whether the chain has capacity for a new stream, without the share reserved for resumed ones.
+   */
   readonly hasRoom: boolean;
-  /** Whether the chain can take a resumed stream; these may also use the reserved share. */
+  /**
+   * Whether the chain can take a resumed stream; resumed streams may also use the reserved share.
+   */
   readonly hasRoomForBegun: boolean;
 }
 
@@ -58,8 +67,8 @@
     isWanted?: (dataCentre: string) => boolean,
   ): ChosenChain | undefined;
   /**
-   * Time until one chain of a service is out of backoff, in milliseconds; 0 when one is already, or
-   * when there is none at all.
+   * Time until the first chain of a service is out of backoff, in milliseconds; 0 when some chain
+   * is out of backoff now, or when there is no chain.
    */
   backoffEndsInMs(
     service: string,
@@ -85,22 +94,22 @@
   readonly isLocal: boolean;
 }
 
-/** Cost of sending to another data centre, as a share of a chain's capacity. */
+/** Cost of sending to another data centre; a full chain costs 1. */
 const REMOTE_PENALTY = 0.25;
 /** Share of a chain that new streams may occupy; the rest is reserved for resumed streams. */
 const NEW_STREAM_SHARE = 0.92;
 /**
- * Load of a chain up to which an entry may exceed its own quota. What it knows of other entries'
- * load is up to two seconds old, and an overfilled chain preempts requests and repeats their
- * prefill.
+ * Share of a chain's capacity up to which an entry may exceed its own quota. The load of the other
+ * entries is known with a delay of up to two seconds, so a margin is left: an overfilled chain
+ * preempts requests and repeats their prefill.
  */
 const BORROWING_SHARE = 0.8;
 /** A time to first event of this length costs as much as a full chain. */
 const SLOW_FIRST_EVENT_MS = 500;
 
 /**
- * Draws two candidates at random instead of comparing all of them. Entries know each other's load
- * only up to a second late, so all of them would overfill the one chain that looked empty.
+ * Draws two candidates at random instead of comparing all of them. Entries learn of each other's
+ * load with a delay, so otherwise all of them would choose, and overfill, the same emptiest chain.
  *
  * Source: Mitzenmacher, "The power of two choices in randomized load balancing", 2001.
  */
@@ -174,7 +183,8 @@
     model: ModelDescription,
     excludedHeads: ReadonlySet<string>,
   ): readonly Candidate[] {
-    // A backoff applies to this VM only, so the catalog does not depend on it.
+    // The catalog ignores backoffs, because its chains are also allocated to other VMs, whereas a
+    // backoff applies to this VM only.
     return listChains(service, model, excludedHeads)
       .filter(({ chain }) => chainBackoffMs(chain) === 0 && options.maySendAlone(chain.headId))
       .map(({ chain, dataCentre }) => toCandidate(chain, dataCentre));
--- a/packages/entry/src/dispatch/eventSplitter.ts
+++ b/packages/entry/src/dispatch/eventSplitter.ts
@@ -1,13 +1,13 @@
 /**
  * Splits a stream of server-sent events at event boundaries, so that a stream that breaks inside
- * an event can be resumed elsewhere after the last complete one.
+ * an event can be resumed on another chain after the last complete event.
  */
 export interface EventSplitter {
   /** Buffers bytes and returns all complete events; empty when none is complete. */
   push(bytes: Buffer): Buffer;
   /** Id of the last complete event returned; null before the first one that has an id. */
   readonly lastEventId: string | null;
-  /** Whether bytes of an incomplete event are buffered. */
+  /** Whether bytes of an event that is not complete yet are buffered. */
   readonly hasPartialEvent: boolean;
   /** Returns and clears the buffered bytes, for a stream that ended without a final blank line. */
   takePartialEvent(): Buffer;
--- a/packages/entry/src/dispatch/guardedOperations.ts
+++ b/packages/entry/src/dispatch/guardedOperations.ts
@@ -1,6 +1,6 @@
 /**
- * Wraps the backend operations with a last check before anything is sent: since it was chosen, the
- * server may have asked for a backoff, announced its departure, or named a rate limit.
+ * Wraps the backend operations with a last check before anything is sent: after a server was
+ * chosen, it may have asked for a backoff, announced its departure, or named a rate limit.
  */
 import { SpoolplankError } from '@spoolplank/shared';
 import type { Clock } from '@spoolplank/shared';
@@ -48,10 +48,10 @@
       if (backoffs.isBackingOff(target.instanceId)) throw refuse(target, 'backoff');
       return operations.report(target, timeoutMs);
     },
-    // A bare connection sends no request, so a backoff does not apply to it.
+    // Opening a connection sends no request, so it is allowed during a backoff.
     isReachable: (address, timeoutMs) => operations.isReachable(address, timeoutMs),
     async repair(target, requestId, stages, timeoutMs) {
-      // Streams continue on an engine that is leaving and may be repaired there.
+      // An engine that is leaving completes its streams, so repairs of these are allowed.
       if (backoffs.isBackingOff(target.instanceId)) {
         return { kind: 'failed', problem: refuse(target, 'backoff').message };
       }
--- a/packages/entry/src/dispatch/plainDispatch.ts
+++ b/packages/entry/src/dispatch/plainDispatch.ts
@@ -1,4 +1,7 @@
-/** Dispatches requests to plain services, with retries on other backend servers where allowed. */
+/**
+ * Dispatches requests to plain services, which are those without a model: any of their backend
+ * servers can run a request alone. Requests are retried on other servers where the route allows it.
+ */
 import { finished } from 'node:stream/promises';
 import type { BackendFact } from '@spoolplank/membership';
 import { delay } from '@spoolplank/node';
@@ -21,16 +24,16 @@
       readonly headers: RawHeaders;
       readonly body: Buffer;
     }
-  /** The request has not run there. */
+  /** The server rejected the request, or was unreachable; the request has not run. */
   | {
       readonly kind: 'not-run';
       readonly problem: string;
       /** Backoff that the server asked for, in milliseconds; null when it asked for none. */
       readonly backoffMs: number | null;
     }
-  /** Nothing was sent: after it was chosen, the server asked for a backoff or began to leave. */
+  /** Nothing was sent: after the choice, the server asked for a backoff or began to leave. */
   | { readonly kind: 'held-back'; readonly problem: string }
-  /** The request may have run there, and there is no response to pass on. */
+  /** The request may have run on the server, and there is no response to pass on. */
   | {
       readonly kind: 'unknown';
       readonly problem: string;
@@ -41,15 +44,19 @@
 /** Result of an attempt for which the request was sent. */
 type SentAttempt = Exclude<AttemptResult, { readonly kind: 'held-back' }>;
 
-/** Time before the caller's timeout at which an attempt is aborted, so that the error arrives. */
+/** Time before its timeout at which an attempt is aborted, so that an error reaches the caller. */
 const TIMEOUT_MARGIN_MS = 30;
-/** A connection within a region takes a few ms; a lost packet is retransmitted after 200 ms. */
+/** A connection within a region takes a few ms; 400 ms allow a retransmission after 200 ms. */
 const CONNECT_TIMEOUT_MS = 400;
 /** Multiple of the target latency after which a safe request is retried on another server. */
 const ATTEMPT_TIMEOUT_FACTOR = 2.5;
 /** Number of `not-run` rejections after which a request is refused. */
 const MAX_REJECTIONS = 3;
-/** Times that a chosen server may close just before the send; each next choice knows of it. */
+/**
+ * Number of held-back attempts after which a request is not sent again. An attempt is held back
+ * when the chosen server asked for a backoff or began to leave just before the send; the next
+ * choice excludes that server.
+ */
 const MAX_HELD_BACK = 4;
 /** Largest response that is buffered. */
 const MAX_ANSWER_BYTES = 16_777_216;
@@ -58,8 +65,9 @@
 /** Lowest status with which a backend server reports that it did not do what was asked. */
 const MIN_UNSUCCESSFUL_STATUS = 300;
 /**
- * A closed port is detected within 2 to 6 ms; an unresponsive one is not waited for, see
- * `streamDispatch`.
+ * Maximum time for which the next attempt waits for the probe that tells whether a server crashed.
+ * A closed port is detected within 2 to 6 ms. For an unresponsive server the request is not delayed
+ * further, for the reason given in `streamDispatch`.
  */
 const MAX_CRASH_EVIDENCE_WAIT_MS = 50;
 
@@ -181,8 +189,8 @@
   }
 
   /**
-   * Records a run whose server crashed. All requests that were running on a plain server are in the
-   * same state, so each of them is suspected.
+   * Records a run whose server may have crashed. Nothing tells which of the requests that were
+   * running on a plain server caused the crash, so each of them is suspected.
    */
   async function recordBrokenRun(
     content: RequestContent,
@@ -200,12 +208,16 @@
       const budget = context.budgetOf(service);
       const excluded = new Set<string>();
       const abort = new AbortController();
+      // Aborts the current attempt when the caller leaves.
       let current = abort;
       answer.onClosed(() => current.abort());
       let runs = 0;
       let rejections = 0;
       let heldBack = 0;
-      /** The first attempt spends no retry budget; a held-back attempt passes its grant on. */
+      /**
+       * Whether the next attempt spends no retry budget. This holds for the first attempt, and
+       * after one that was held back, as nothing was sent.
+       */
       let isAttemptGranted = true;
       let last: SentAttempt | null = null as SentAttempt | null;
       let servedBy: readonly string[] = [];
@@ -225,7 +237,7 @@
       async function handleResult(result: SentAttempt, backend: BackendFact): Promise<boolean> {
         if (result.kind === 'not-run') rejections += 1;
         else runs += 1;
-        // A received response is kept as a fallback for later attempts that get none.
+        // A received response is kept, to be passed on if later attempts get none.
         if (result.kind === 'answered' || last?.kind !== 'answered') last = result;
         if (isSuccess(result)) quarantine.recordServed(content);
         if (!isRetryable(result)) return false;
@@ -246,7 +258,8 @@
       }
 
       for (;;) {
-        // A request that may have run cannot be refused as not run, so it does not wait here.
+        // A request that may have run cannot be refused as `not-run` if the backoff is too long, so
+        // it does not wait for the end of a backoff.
         if (runs === 0 && servers.backoffEndsInMs(service, excluded) > 0) {
           await backoffWaits.wait(admitted, () => servers.backoffEndsInMs(service, excluded));
         }
@@ -264,7 +277,7 @@
         const server = canSend ? await servers.find(search) : undefined;
         if (!server) break;
         const { backend } = server;
-        // Servers may have crashed on this content elsewhere while the request waited.
+        // Other VMs may have reported crashes under this content while the request waited.
         if (runs === 0) quarantine.check(content);
         if (isFirst) budget.earn();
         excluded.add(backend.instanceId);
--- a/packages/entry/src/dispatch/plainServers.ts
+++ b/packages/entry/src/dispatch/plainServers.ts
@@ -1,4 +1,7 @@
-/** Selects the plain server for a request, and tells when one is out of backoff. */
+/**
+ * Selects the backend server for a request to a plain service, which is one without a model, and
+ * tells when a server of the service is out of backoff.
+ */
 import type { BackendFact } from '@spoolplank/membership';
 import { selectCandidate } from '@spoolplank/routing';
 import { SpoolplankError } from '@spoolplank/shared';
@@ -8,26 +11,29 @@
 /** A server to send a request to. */
 export interface ChosenServer {
   readonly backend: BackendFact;
-  /** Permit to send the server one request; null when none is needed. */
+  /** Permission under the server's rate limit to send it this request; null when none is needed. */
   readonly permit: Permit | null;
 }
 
 export interface PlainServers {
   /**
    * Finds the less loaded of two available servers that the request has not been sent to. A server
-   * that named a rate limit requires a permit; the request waits for one only when no other server
-   * is left.
+   * that named a rate limit requires a permit; the request waits for a permit only when all servers
+   * that are left have named a rate limit. Undefined when there is no server to send to.
    *
    * @throws SpoolplankError with the time to retry after; the request has not run.
    */
   find(search: PermitSearch): Promise<ChosenServer | undefined>;
-  /** Time until one of the servers is out of backoff; 0 when one is now, or none is left. */
+  /**
+   * Time until the first of the servers that are not excluded is out of backoff; 0 when some server
+   * is out of backoff now, or when all are excluded.
+   */
   backoffEndsInMs(service: string, excluded: ReadonlySet<string>): number;
   /** Time after which the caller of a request that no server ran should retry, in milliseconds. */
   retryAfterMs(service: string): number;
 }
 
-/** A full server has capacity again after about ten runs of 15 ms. */
+/** A full server has capacity again after about ten runs of 15 ms, which is 150 ms. */
 const RETRY_AFTER_MS = 150;
 const NO_EXCLUSIONS: ReadonlySet<string> = new Set();
 
--- a/packages/entry/src/dispatch/serverNotices.ts
+++ b/packages/entry/src/dispatch/serverNotices.ts
@@ -1,6 +1,8 @@
 /**
- * Tracks the backoffs and departures that backend servers announced to this VM, and holds sends
- * back accordingly. This needs no other VM. See docs/design/server-backoff.md.
+ * Tracks the backoffs and departures that backend servers announced to this VM in their responses,
+ * and tells which servers must therefore not be sent anything. A backoff applies to this VM only. A
+ * departure applies to all VMs; this VM observes it at once and also publishes it as a fact, which
+ * is a record that all VMs replicate by gossip. See docs/design/server-backoff.md.
  */
 import { FACT_KEYS, isLeaving, stateLeaving } from '@spoolplank/membership';
 import type {
@@ -22,38 +24,51 @@
   readonly metrics: Metrics;
   readonly table: FactTable<SystemFact>;
   readonly findByAddress: RoutingView['findByAddress'];
-  /** Sends the statements of this VM to others at once. */
+  /**
+   * Sends the statements of this VM, which are the facts that it publishes, to its control VM at
+   * once instead of with the next exchange.
+   */
   readonly spread: () => void;
-  /** Called with each backoff that a server requests from this process. */
+  /** Called with each backoff that a server requests in a response to this process. */
   readonly onBackoff?: (directive: BackoffDirective) => void;
 }
 
-/** Why a server is sent nothing now. */
+/**
+ * Why a request is not sent to a server now: the server asked for a backoff, it is leaving, or it
+ * named a rate limit and the request has neither a permit nor a share of this VM's own quota.
+ */
 export type ClosedReason = 'backoff' | 'leaves' | 'limit';
 
 export interface ServerNotices {
   readonly backoffs: BackoffTable;
   /** Applies a notice that a server attached to a response. */
   take(notice: ServerNotice): void;
-  /** Applies a backoff that a server requested from the other process of this VM. */
+  /** Applies a backoff that a server requested in a response to the control process of this VM. */
   recordBackoff(directive: BackoffDirective): void;
-  /** Why a server must not be sent a request now; null when it may be. */
+  /**
+   * Why a server must not be sent a request now; null when it may be. Rate limits are not
+   * considered here, so the reason is never `limit`.
+   */
   closedReason(instanceId: string): ClosedReason | null;
   /**
-   * Servers that are sent nothing now. VMs that choose a server on behalf of this one need the list
-   * because they may learn of a departure later.
+   * Servers that this VM must not send requests to: those in backoff, and those that announced
+   * their departure to this VM recently. The list is passed to the VMs that allocate slots for this
+   * one, which do not know its backoffs and learn of a departure only by gossip.
    */
   listClosed(): readonly string[];
   /** Counts a send that was held back. */
   recordHeldBack(reason: ClosedReason): void;
-  /** Statements to send with the next exchange. */
+  /** The recent departures, as facts to publish with the next exchange. */
   listStatements(): readonly FactUpdate<SystemFact>[];
-  /** Removes expired entries. */
+  /** Removes backoffs and departures that have expired; called periodically. */
   sweep(): void;
   describe(): JsonValue;
 }
 
-/** Departures are stated for this long, in case this VM has just switched its control VM. */
+/**
+ * Time for which a departure is published with each exchange. The first message may be lost, or go
+ * to a control VM that this VM is just replacing by another one.
+ */
 const STATEMENT_REPEAT_MS = 5000;
 
 export function createServerNotices(options: ServerNoticesOptions): ServerNotices {
@@ -62,9 +77,9 @@
   const leavingSinceMs = new Map<string, number>();
 
   /**
-   * Instances that a backoff applies to: the engine that answered, because it asked for the
-   * backoff, and the engine that it named as the culprit, because paths over that one would be
-   * rejected for the same reason.
+   * Instances that a backoff applies to: the server that answered, because it asked for the
+   * backoff, and the engine that it named as the culprit, if any, because requests over other paths
+   * that include this engine would be rejected for the same reason.
    */
   function listAffected({ instanceId, culpritAddress }: ServerNotice): readonly string[] {
     const culprit = culpritAddress === null ? undefined : findByAddress(culpritAddress)?.body;
@@ -78,7 +93,7 @@
       const isFirst = backoffs.record(instanceId, backoffMs);
       onBackoff({ instanceId, backoffMs });
       metrics.count('spoolplank_server_backoffs_total', { kind: isFirst ? 'first' : 'repeated' });
-      // Requests already on their way are rejected as well, so only the first one is logged.
+      // Requests already on their way are rejected too, so only the first rejection is logged.
       if (!isFirst) return;
       const { status, requestId, address, instanceId: answeredBy } = notice;
       log.info('server-backoff', { instanceId, backoffMs, status, requestId, answeredBy, address });
--- a/packages/entry/src/dispatch/streamAttempt.ts
+++ b/packages/entry/src/dispatch/streamAttempt.ts
@@ -26,7 +26,9 @@
   | {
       readonly kind: 'broken';
       readonly problem: string;
-      /** Whether the fault lies with another engine than the first one. */
+      /**
+       * Whether the first engine is fine, because the fault lies with a later engine of the path.
+       */
       readonly isHeadHealthy: boolean;
       readonly run: BrokenRun;
     }
@@ -41,20 +43,27 @@
 export interface BrokenRun {
   /** Time since the request was sent. */
   readonly ranMs: number;
-  /** Whether the engine had sent the head of its response. */
+  /** Whether the first engine had sent the head of its response. */
   readonly hasAnswered: boolean;
-  /** Whether any part of the response body had arrived. */
+  /** Whether any part of the response body had arrived; the head alone does not count. */
   readonly hasBegun: boolean;
-  /** Whether this entry aborted it while its first engine was alive, as far as known. */
+  /**
+   * Whether this entry aborted the attempt for another reason than the loss of its first engine.
+   */
   readonly wasCutHere: boolean;
 }
 
 /** State that a request keeps across its attempts. */
 export interface StreamProgress {
+  /** Id of the last event that was forwarded to the caller; a later attempt resumes after it. */
   lastEventId: string | null;
+  /** Whether the caller has been sent the head of the response, in any attempt. */
   hasBegun: boolean;
+  /** Time from the arrival of the request to the first byte forwarded; null before that. */
   firstByteMs: number | null;
+  /** Status that was forwarded to the caller; 0 before that. */
   status: number;
+  /** Engines and layers of the path of the last attempt. */
   servedBy: readonly string[];
   /** The last slot that the request was given, with the load of its chain at that time. */
   slot: SlotDecision | null;
@@ -62,6 +71,7 @@
   waitedMs: number;
   /** Time at which the last event was forwarded; null before the first one. */
   lastEventAtMs: number | null;
+  /** Longest time between two forwarded events, including the change to another chain. */
   longestPauseMs: number;
 }
 
@@ -73,7 +83,7 @@
 }
 
 export interface StreamAttempts {
-  /** Sends a stream, or the remainder of one, over a chain and updates `progress`. */
+  /** Sends a stream, or the part of it that is missing, over a chain and updates `progress`. */
   attempt(search: SlotSearch, chain: ChosenChain, progress: StreamProgress): Promise<StreamResult>;
 }
 
--- a/packages/entry/src/dispatch/streamDispatch.ts
+++ b/packages/entry/src/dispatch/streamDispatch.ts
@@ -1,4 +1,8 @@
-/** Dispatches streams of a model that runs on a chain of engines. */
+/**
+ * Dispatches streams of a model that runs on a chain of engines. Each attempt needs a slot: the
+ * permission to put the load of one request on a chain. A stream that breaks off is resumed on
+ * another chain after the last event that its caller received.
+ */
 import { delay } from '@spoolplank/node';
 import { SpoolplankError } from '@spoolplank/shared';
 import type { ModelDescription } from '@spoolplank/routing';
@@ -16,6 +20,7 @@
   readonly slots: SlotFinder;
   /** Probes an engine after a failed connection. */
   readonly examine: (instanceId: string, address: string) => void;
+  /** Excludes an engine for all requests of this VM for a short time. */
   readonly avoid: (instanceId: string) => void;
 }
 
@@ -30,27 +35,42 @@
 
 /** Number of `not-run` rejections after which a stream is not sent again. */
 const MAX_REJECTIONS = 4;
-/** Times that a chosen engine may close just before the send; each next choice knows of it. */
+/**
+ * Maximum number of held-back attempts that are followed by another one. An attempt is held back,
+ * so that nothing is sent, mostly because the first engine asked for a backoff or began to leave
+ * after the chain was chosen. The next choice excludes that engine.
+ */
 const MAX_HELD_BACK = 4;
 /**
- * A refused connection is detected within milliseconds, so it is usually known whether the engine
- * crashed before the request is sent to another one. An unresponsive engine takes longer to detect
- * than a caller should wait.
+ * Maximum time for which the next attempt waits for the probe that tells whether an engine crashed.
+ * The probe of a crashed engine ends within milliseconds, as its port refuses the connection. An
+ * engine that does not respond at all takes longer to detect than a caller should wait, so the
+ * stream is then sent on without the result.
  */
 const MAX_CRASH_EVIDENCE_WAIT_MS = 50;
-/** Attempts of one stream; when more engines are lost in a row, the cause lies elsewhere. */
+/** Attempts of one stream. If all of them fail, the cause is probably not the engines. */
 const MAX_ATTEMPTS = 6;
-/** The prefill of an 800-token prompt keeps the slowest engine of a chain busy for 4 ms. */
+/**
+ * Interval at which all entries together resume streams. Resuming repeats the prefill, which keeps
+ * the slowest engine of a chain busy for 4 ms with a prompt of 800 tokens. Twice that time leaves
+ * half of the engine to the other streams.
+ */
 const RESUME_SPACING_MS = 8;
-/** Callers abandon a stream after a pause of 2 s, of which detecting the fault takes 0.5 s. */
+/**
+ * Maximum delay before a stream resumes. Callers abandon a stream after a pause of 2 s. Detecting
+ * the fault takes 0.5 s of it; the rest remains for the slot and for the repeated prefill.
+ */
 const MAX_RESUME_DELAY_MS = 900;
 /**
- * Share of the retry budget that is reserved for streams that have started. Other streams can be
- * refused and retried by their callers, but a started stream would be lost to its caller.
+ * Share of the retry budget that is reserved for streams of which the caller has received a part.
+ * Other streams can be refused and retried by their callers; a partly received one would be lost.
  */
 const RESUME_RESERVE_SHARE = 0.4;
 
-/** Content and progress of a broken run, by which log lines of lost engines can be correlated. */
+/**
+ * Log fields of a broken run. The content digest is equal for all attempts of a request, so that
+ * the losses of several engines can be traced to one content.
+ */
 function describeRun(admitted: AdmittedRequest, run: BrokenRun) {
   return {
     content: digestContent(contentOf(admitted)),
@@ -67,9 +87,10 @@
   let nextResumeAtMs = 0;
 
   /**
-   * Excludes the engine that caused a rejection: a named culprit is avoided briefly by all
-   * requests, otherwise the first engine is excluded for this request. An unreachable engine is
-   * named as the culprit, because its chain may be repaired in the meantime.
+   * Excludes the engine that caused a rejection. If the rejection names a culprit, all requests of
+   * this VM avoid it for a short time; otherwise this request excludes the first engine for good.
+   * An unreachable first engine counts as a named culprit: this request may then use the chain once
+   * it is repaired.
    */
   function recordRejection(
     { stages: [head] }: ChosenChain,
@@ -82,8 +103,8 @@
   }
 
   /**
-   * Staggers the streams that resume after the loss of an engine: each one repeats its prefill, and
-   * all at once would delay every other stream of the chain.
+   * Staggers the streams that resume after the loss of an engine. Each of them repeats its prefill;
+   * if all did so at once, they would delay every other stream of their new chain.
    */
   async function waitToResume(): Promise<void> {
     const nowMs = clock.nowMs();
@@ -94,9 +115,10 @@
   }
 
   /**
-   * Attributes the crash of the first engine to a request that had just started there. An attempt
-   * without a response had not started, and one that delivered events ran well: for both, the crash
-   * is a coincidence.
+   * Records the content of a run as the suspected cause of the crash of its first engine if the
+   * engine had sent the head of its response, but no part of the body. Without the head the request
+   * had not started there, and after a part of the body it ran well; in both cases a crash is taken
+   * for a coincidence.
    */
   async function recordBrokenRun(
     admitted: AdmittedRequest,
@@ -129,9 +151,13 @@
       let runs = 0;
       let rejections = 0;
       let heldBack = 0;
-      /** The first attempt spends no retry budget; a held-back attempt passes its grant on. */
+      /**
+       * Whether the next attempt spends no retry budget. This holds for the first attempt, and
+       * after one that was held back, as nothing was sent.
+       */
       let isAttemptGranted = true;
       let attempts = 0;
+      /** Whether an earlier attempt may have run; the caller then cannot be told `not-run`. */
       let mayHaveRun = false;
       let problem = '';
 
@@ -164,6 +190,7 @@
         const search = {
           admitted,
           model,
+          // Identifies the slot of this attempt.
           ticket: `${request.id}/${attempts + heldBack}`,
           excludedHeads: excluded,
           isUnwanted: () => quarantine.has(content),
@@ -173,7 +200,7 @@
           : await slots.toBegin(search);
         progress.waitedMs += clock.nowMs() - waitStartMs;
         if (!chain && answer.isClosed) return end('caller-left', progress.status);
-        // Servers may have crashed on this content elsewhere while the request waited.
+        // Other VMs may have reported crashes under this content while the request waited.
         if (!mayHaveRun) quarantine.check(content);
         if (!chain || quarantine.has(content)) break;
         attempts += 1;
@@ -207,7 +234,7 @@
           recordRejection(chain, result.culprit, excluded);
         } else if (result.kind === 'broken') {
           mayHaveRun = true;
-          // Counts as a run, since a lost engine cannot be told from a lost connection here.
+          // Counts as a run: from here, a lost engine looks the same as a lost connection.
           runs += 1;
           const [head] = chain.stages;
           if (head && !result.isHeadHealthy) excluded.add(head.id);
--- a/packages/entry/src/dispatch/streamPath.ts
+++ b/packages/entry/src/dispatch/streamPath.ts
@@ -1,4 +1,7 @@
-/** Wires the components that run a stream over a chain: selection, slots, dispatch and repair. */
+/**
+ * Wires the components that run a stream over a chain, which is a sequence of engines that together
+ * hold all layers of a model: selection, slots, dispatch and repair.
+ */
 import { delay } from '@spoolplank/node';
 import type { PeerClient, PeerMethod } from '@spoolplank/node';
 import { createChainChoice } from './chainChoice';
@@ -18,6 +21,7 @@
   readonly context: EntryContext;
   readonly streams: StreamTable;
   readonly health: EngineHealth;
+  /** Records streams whose engine was lost, as their content may have crashed the engine. */
   readonly guard: Pick<CrashGuard, 'recordLost'>;
   readonly peers: PeerClient;
   /** Unique to this incarnation of the process. */
@@ -27,7 +31,7 @@
   readonly countEntries: () => number;
   /** The data centre of a server; undefined when unknown. */
   readonly dataCentreOf: (instanceId: string) => string | undefined;
-  /** Whether this VM has exchanged facts for long enough to know all members. */
+  /** Whether this VM has exchanged facts (gossiped records) for long enough to know all members. */
   readonly isSettled: () => boolean;
 }
 
--- a/packages/entry/src/dispatch/streamTable.ts
+++ b/packages/entry/src/dispatch/streamTable.ts
@@ -1,4 +1,7 @@
-/** Tracks the streams that run through this entry. */
+/**
+ * Tracks the streams that run through this entry. Each row is one attempt over one chain: a
+ * sequence of engines that together hold all layers of the model.
+ */
 import { createUnseenLoad } from '@spoolplank/routing';
 import type { HeldSlot, ModelDescription, PathStage } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
@@ -7,6 +10,7 @@
 /** Why this entry aborted an attempt. */
 export type StreamCut = 'caller-left' | 'head-lost' | 'no-repair' | 'deadline' | 'quarantined';
 
+/** An attempt in progress to run a stream over a chain. */
 export interface StreamRow {
   readonly admitted: AdmittedRequest;
   readonly model: ModelDescription;
@@ -19,22 +23,28 @@
   /** Memory that the request takes, relative to a request of usual size. */
   readonly size: number;
   stages: readonly PathStage[];
-  /** Engines of the path that were found lost during this attempt. */
+  /** Engines of the path that were found lost, or unfit for it, during this attempt. */
   readonly lostIds: Set<string>;
   readonly startedAtMs: number;
   /** Whether the first engine has sent the head of its response. */
   hasAnswered: boolean;
-  /** Whether any part of the response body has arrived. */
+  /** Whether any part of the response body has arrived in this attempt. */
   hasBegun: boolean;
+  /** Time at which the last part of the body arrived, or the caller began to read again. */
   lastProgressAtMs: number;
+  /** Time at which the last check for a lost engine, or the last repair, ended. */
   lastCheckAtMs: number;
   /** Probes since the last event, none of which found a lost engine. */
   checks: number;
+  /** Whether the engines of the path are being probed. */
   isChecking: boolean;
+  /** Whether the stream is being moved to another path. */
   isRepairing: boolean;
   /** Whether the caller reads too slowly; silence is then no sign of a fault. */
   isPaused: boolean;
+  /** Why this entry aborted the attempt; null while it has not. */
   cutReason: StreamCut | null;
+  /** Aborts the attempt. */
   readonly cut: (reason: StreamCut) => void;
 }
 
@@ -42,7 +52,7 @@
   add(row: StreamRow): void;
   remove(row: StreamRow): void;
   list(): Iterable<StreamRow>;
-  /** Slots held by the streams on chains of a data centre. */
+  /** Slots held by the streams in a data centre: one for each attempt, on its chain. */
   listHeld(dataCentre: string): readonly HeldSlot[];
   /** Sum of the sizes of the streams in flight on the chain with the given first engine. */
   countOn(headId: string): number;
@@ -61,7 +71,10 @@
   counts(): Readonly<Record<string, number>>;
 }
 
-/** Load reports pass through at most two control VMs, each of which delays them by up to 0.8 s. */
+/**
+ * Time after which all entries know a load. Its report passes through at most two control VMs, each
+ * of which delays it by up to 0.8 s.
+ */
 const UNSEEN_WINDOW_MS = 1600;
 /** Weight of a new sample in the moving averages. */
 const SAMPLE_WEIGHT = 0.2;
--- a/packages/entry/src/entryContext.ts
+++ b/packages/entry/src/entryContext.ts
@@ -29,7 +29,7 @@
   readonly notices: ServerNotices;
   /** Rate limits that backend servers named to this VM. */
   readonly limits: ServerLimits;
-  /** Age of the facts that requests are routed by, in milliseconds. */
+  /** Age of the facts, which are the records that VMs replicate by gossip, in milliseconds. */
   readonly factsAgeMs: () => number;
 }
 
@@ -46,7 +46,7 @@
   readonly endsAtMs: number;
 }
 
-/** The decision where a stream ran, for the log. */
+/** On which chain a stream was given a slot, and by whom; for the log. */
 export interface SlotDecision {
   /** VM that granted the slot; null when the entry selected the chain itself. */
   readonly grantedBy: string | null;
@@ -58,6 +58,12 @@
 
 /** How a request ended, for the log and the metrics. */
 export interface RequestEnd {
+  /**
+   * `served`: the response of a backend server was passed on. `failed-there`: it was passed on too,
+   * but is an error of that server: a 5xx status, or any status above 299 for a stream. `refused`:
+   * the request has not run. `failed`: it may have run, and the caller was sent an error of this
+   * system instead. `broken-off`: the response was cut after a part of it.
+   */
   readonly outcome: 'served' | 'failed-there' | 'refused' | 'failed' | 'broken-off' | 'caller-left';
   readonly status: number;
   readonly attempts: number;
