--- a/packages/entry/src/addressBook.ts
+++ b/packages/entry/src/addressBook.ts
@@ -1,9 +1,9 @@
 /**
  * Selects the entries that a caller should connect to.
  *
- * When a quarter of all VMs lose power at once, a caller that knows forty addresses has to try ten
- * dead ones, at a second each; a caller that knows six has to try one or two. So every caller gets
- * a few addresses, the same ones each time, and callers are spread over all entries.
+ * When a quarter of all VMs lose power at once, a caller that knows forty addresses may have to try
+ * ten dead ones, at a second each; a caller that knows six has to try one or two. So every caller
+ * gets a few addresses, the same ones each time, and callers are spread over all entries.
  */
 import { rankByRendezvous } from '@spoolplank/shared';
 import type { RoutingView } from './gossip/routingView';
@@ -29,11 +29,14 @@
 }
 
 /**
- * Number of addresses for one caller. With a quarter of all VMs dead, one caller in 4,000 knows
- * only dead ones; with four addresses it would be one in 256.
+ * Number of addresses for one caller. With a quarter of all VMs dead, all six addresses are dead
+ * for one caller in 4,000; with four addresses this would happen to one caller in 256.
  */
 const ADDRESSES_PER_CALLER = 6;
-/** With fewer entries in its data centre, a caller could be left without any by a single loss. */
+/**
+ * Number of entries from which a data centre suffices for its callers; with one entry, its loss
+ * would leave a caller without any address.
+ */
 const MIN_LOCAL_ADDRESSES = 2;
 
 export function createAddressBook(options: AddressBookOptions): AddressBook {
--- a/packages/entry/src/admission/admissionQueue.ts
+++ b/packages/entry/src/admission/admissionQueue.ts
@@ -1,4 +1,7 @@
-/** Queues requests for a short wait for a slot, in the order of `compareQueued`. */
+/**
+ * Queues requests that wait for a slot, in the order of `compareQueued`. A slot is the permission
+ * to put the load of one request on a chain of engines.
+ */
 import { compareQueued, isHopeless } from '@spoolplank/routing';
 import type { QueuedRequest } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
@@ -20,16 +23,16 @@
    * default.
    */
   readonly exclusionKey?: () => string;
-  /** Slots per second that rate limits of servers allow; null if these are no bound. */
+  /** Slots per second that the rate limits of servers allow; null if no rate limit applies. */
   readonly limitedPerS?: () => number | null;
-  /** Whether the request no longer needs a slot. */
+  /** Whether the request no longer needs a slot, so that the queue drops it. */
   readonly isAbandoned: () => boolean;
 }
 
 export interface AdmissionQueue {
   /** Number of queued requests. */
   readonly length: number;
-  /** Recent rate of grants. */
+  /** Recent rate of granted slots. */
   slotsPerS(): number;
   /**
    * Resolves with a slot, at once if one is free and no request is ahead, or with undefined if the
@@ -46,14 +49,16 @@
   readonly fail: (error: unknown) => void;
 }
 
-/** After this many failures with an exclusion key, a pass skips the other requests with it. */
+/**
+ * After this many failures of requests with equal exclusion keys, a pass skips the others of them.
+ */
 const MAX_FAILED_TRIES = 3;
 /**
- * Bounds the cost of a pass. It exceeds `MAX_FAILED_TRIES`, as requests for which a chain backs off
- * must not keep its slots from the requests behind them.
+ * Bounds the cost of a pass. It exceeds `MAX_FAILED_TRIES`, so that a pass still reaches requests
+ * with other exclusion keys: a chain in backoff for the first requests may be free for them.
  */
 const MAX_TRIES_PER_PASS = 24;
-/** Pause after a grant. */
+/** Pause after a grant; in the meantime the request is sent, and its slot counts as in flight. */
 const AFTER_GRANT_MS = 2;
 /** Window over which the rate of grants is measured. */
 const RATE_WINDOW_MS = 1500;
@@ -130,7 +135,8 @@
     isPolling = true;
     let wasGranted = false;
     while (queue.length > 0) {
-      // A granted slot counts as in flight only once its request has been sent.
+      // A granted slot counts as in flight only once its request has been sent, so the next pass
+      // waits for that.
       await delay(wasGranted ? AFTER_GRANT_MS : pollMs);
       removeEnded();
       wasGranted = grantNext();
--- a/packages/entry/src/admission/callerAge.ts
+++ b/packages/entry/src/admission/callerAge.ts
@@ -1,14 +1,17 @@
 /**
  * Estimates how long a caller had been trying before its request arrived. Callers state how long
- * they will still wait; a caller that was refused or could not connect before has less time left
- * than others of its organisation on the same route.
+ * they will still wait. A caller that was refused, or could not connect, before has less time left
+ * than the other callers of its organisation on the same route.
  */
 export interface CallerAge {
-  /** Time since the caller's first attempt; 0 if unknown. */
+  /**
+   * Time since the caller's first attempt; 0 if unknown. A group consists of the callers of one
+   * organisation on one route.
+   */
   estimateMs(group: string, remainingMs: number | null): number;
 }
 
-/** Maximum number of groups; the least recently raised one is evicted first. */
+/** Maximum number of groups. The group whose longest wait was raised least recently is evicted. */
 const MAX_GROUPS = 4096;
 
 export function createCallerAge(): CallerAge {
--- a/packages/entry/src/admission/requestAdmission.ts
+++ b/packages/entry/src/admission/requestAdmission.ts
@@ -29,12 +29,18 @@
   admit(request: CallerRequest, answer: CallerAnswer): Promise<AdmittedRequest>;
 }
 
-/** Startup time: the routing document arrives once the consensus core has elected a leader. */
+/**
+ * Time after the start for which requests wait for the routing document, which arrives once the
+ * consensus core has elected a leader.
+ */
 const STARTUP_MS = 1800;
 const STARTUP_POLL_MS = 20;
-/** After a leader is lost, confirmations resume with the next election, within a second or two. */
+/**
+ * Confirmations that stopped with the loss of a leader resume after the next election, which takes
+ * a second or two.
+ */
 const STALE_RETRY_AFTER_MS = 1000;
-/** Another entry can serve at once; the caller only has to connect to it. */
+/** Short, as another entry can serve the request as soon as the caller has connected to it. */
 const SHUTDOWN_RETRY_AFTER_MS = 50;
 
 export function createRequestAdmission(options: RequestAdmissionOptions): RequestAdmission {
@@ -50,8 +56,8 @@
   }
 
   /**
-   * Waits for the routing document, which arrives within a second or two of the start. Otherwise
-   * every entry would refuse requests after a power failure.
+   * Waits for the routing document, which arrives within a second or two of the start. Without the
+   * wait, all entries would refuse all requests for that time after a power failure.
    */
   async function waitForStartup(): Promise<void> {
     const endsAtMs = startedAtMs + STARTUP_MS;
--- a/packages/entry/src/admission/retryBudgets.ts
+++ b/packages/entry/src/admission/retryBudgets.ts
@@ -1,4 +1,7 @@
-/** This entry's share of the retry budgets of all services. */
+/**
+ * This entry's share of the retry budgets of all services. A budget bounds the retries to a share
+ * of the requests.
+ */
 import { createWindowBudget } from '@spoolplank/routing';
 import type { WindowBudget } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
@@ -16,26 +19,35 @@
   readonly limits: RetryLimits;
   /** Number of entries that share the allowance, including this one. */
   readonly entries: () => number;
-  /** When this entry first received facts from a control VM, on the steady clock; else infinite. */
+  /**
+   * Time on the steady clock at which this entry first received facts (gossiped records) from a
+   * control VM; infinite before that.
+   */
   readonly firstSyncedAtMs: () => number;
 }
 
 /** Returns the budget of a service; created on first use. */
 export type RetryBudgets = (service: string) => WindowBudget;
 
-/** Share of the deployment's allowance in use, as an entry may not know all other entries. */
+/**
+ * Share of the deployment's allowance that is used. The rest is a margin for entries that do not
+ * know all others and therefore take too large a part.
+ */
 const ALLOWANCE_SHARE = 0.7;
-/** Share of the ratio in use: the windows of this entry lag behind those of the callers. */
+/**
+ * Share of the ratio that is used. The rest is a margin, as the windows of this entry lag behind
+ * those of the callers.
+ */
 const RATIO_SHARE = 0.85;
 /**
- * Time until an entry knows the entries that started together with it, which announce themselves
- * every 800 ms through two control VMs. Before that it would count itself as the only entry and use
- * the whole allowance.
+ * Time until an entry knows the entries that started together with it. They announce themselves
+ * every 800 ms, and each announcement passes through two control VMs. An entry that knows no others
+ * would count itself as the only one and use the whole allowance.
  */
 export const MEMBERS_KNOWN_MS = 2600;
 /**
- * Retries that an entry may use before that, so that a first request whose backend server is lost
- * is retried.
+ * Retries that an entry may use while it does not know the others yet, so that a first request
+ * whose backend server is lost is retried.
  */
 const STARTUP_ALLOWANCE = 2;
 
--- a/packages/entry/src/callerRequest.ts
+++ b/packages/entry/src/callerRequest.ts
@@ -11,6 +11,7 @@
   /** Path and query as sent. */
   readonly url: string;
   readonly host: string;
+  /** Key that identifies the caller's organisation; null when it sent none. */
   readonly key: string | null;
   /** Time that the caller waits, counted from the arrival; null when it set none. */
   readonly deadlineMs: number | null;
@@ -39,8 +40,11 @@
   write(chunk: Buffer): boolean;
   /** Sets a listener that is called when more can be written. */
   onWritable(listener: () => void): void;
+  /** Completes a streamed response. */
   end(): void;
-  /** Closes the connection, so that the truncated response cannot be taken for a complete one. */
+  /**
+   * Closes the connection, so that the truncated response cannot be taken for a complete response.
+   */
   cut(): void;
   /** Responds with an error of this system. */
   refuse(error: SpoolplankError): void;
--- a/packages/entry/src/entryNode.ts
+++ b/packages/entry/src/entryNode.ts
@@ -70,16 +70,21 @@
   isReady(): boolean;
   /** Releases a content from quarantine; returns false when nothing is recorded against it. */
   releaseContent(digest: string): boolean;
-  /** Withdraws this entry from the address lists; requests that still arrive are served. */
+  /**
+   * Withdraws this entry from the address lists of callers; requests that still arrive are served.
+   */
   beginLeaving(): void;
   /** Refuses new requests as not run from now on. */
   refuseNew(): void;
+  /** Number of requests that are being served. */
   readonly inFlight: number;
   stop(): void;
   describe(): JsonValue;
 }
 
+/** Interval of the periodic work. */
 const TICK_MS = 40;
+/** Number of ticks between two sweeps, which is 10 s. */
 const SWEEP_TICKS = 250;
 
 export function createEntryNode(options: EntryNodeOptions): EntryNode {
@@ -259,7 +264,8 @@
         const admitted = await admission.admit(request, answer);
         route = admitted.route.name;
         service = admitted.service;
-        // A retry has a new id and may arrive at any VM, so requests are identified by content.
+        // A retry by the caller has a new id and may arrive at any VM, so a request that crashes
+        // servers is recognised by its content.
         quarantine.check(contentOf(admitted));
         report(request, await dispatch(admitted), { route, service });
       } catch (error) {
--- a/packages/entry/src/limits/limitAccount.ts
+++ b/packages/entry/src/limits/limitAccount.ts
@@ -1,6 +1,7 @@
 /**
  * Account of the permits for rate-limited servers of this VM's data centre, with its log and
- * metrics. The limits that servers set arrive with the calls of the VMs that received them.
+ * metrics. A permit allows one request to a server. The limits that servers set in their answers
+ * are reported by the VMs that received the answers, with their calls to the allocator.
  */
 import type { EventLog, Metrics } from '@spoolplank/node';
 import { createPermitAccount, lentShare } from '@spoolplank/routing';
@@ -32,7 +33,10 @@
   learn(vm: string, reports: readonly LimitReport[], limits: readonly NamedLimit[]): void;
 }
 
-/** A VM that holds or requests slots here calls at least once a second. */
+/**
+ * Time since its last call for which a VM counts as active. A VM that holds or requests slots in
+ * this data centre calls at least once a second.
+ */
 const ACTIVE_WITHIN_MS = 2600;
 
 export function createLimitAccount(options: LimitAccountOptions): LimitAccount {
--- a/packages/entry/src/limits/permitFinder.ts
+++ b/packages/entry/src/limits/permitFinder.ts
@@ -1,6 +1,7 @@
 /**
- * Obtains permits for plain requests to rate-limited servers. A permit is a slot on a chain with
- * the server as its only stage, granted by the same allocator.
+ * Obtains permits for requests to rate-limited plain servers, which are servers of services without
+ * a model. A permit allows one request. It is represented as a slot on a chain with the server as
+ * its only stage, and granted by the allocator that also grants the slots of streams.
  */
 import type { BackendFact } from '@spoolplank/membership';
 import type { Clock } from '@spoolplank/shared';
@@ -14,7 +15,10 @@
   readonly ticket: string;
   /** Servers that were already tried. */
   readonly excluded: ReadonlySet<string>;
-  /** Whether it may wait. A request that may have run cannot be refused as not run afterwards. */
+  /**
+   * Whether the request may wait for a permit. A wait may end in a refusal as `not-run`, so a
+   * request that may have run does not wait.
+   */
   readonly mayWait: boolean;
 }
 
@@ -50,9 +54,12 @@
 
 /** Equal to the time for which a stream waits for a slot. */
 const MAX_WAIT_MS = 1200;
-/** Share of the remaining time spent on waiting; the rest is for the run, and for a failover. */
+/**
+ * Share of the remaining time for which a request waits; the rest is left for the run and for
+ * another attempt on a different server.
+ */
 const MAX_WAIT_SHARE = 0.5;
-/** A permit takes no memory. */
+/** A permit takes no memory of a chain, so it has no size. */
 const PERMIT_SIZE = 0;
 
 export function createPermitFinder({ clock, slots }: PermitFinderOptions): PermitFinder {
--- a/packages/entry/src/limits/serverLimits.ts
+++ b/packages/entry/src/limits/serverLimits.ts
@@ -1,6 +1,7 @@
 /**
- * Rate limits that servers set in their answers to this VM's requests, and this VM's own quota
- * under them. See docs/design/named-limits.md.
+ * Rate limits that servers set in their answers to this VM's requests, and this VM's own quota: the
+ * requests that it may send under a limit without a permit of the allocator. See
+ * docs/design/named-limits.md.
  */
 import type { EventLog, Metrics } from '@spoolplank/node';
 import { createNamedLimits } from '@spoolplank/routing';
@@ -25,19 +26,26 @@
   perSOf(instanceId: string): number | null;
   /** Whether this VM may send without a permit: no limit applies, or it has some own quota left. */
   maySendAlone(instanceId: string): boolean;
-  /** Takes one request from this VM's own quota; false if it is used up. */
+  /** Counts one request against this VM's own quota; false if the quota is used up. */
   takeOwnQuota(instanceId: string): boolean;
-  /** Records that the account, asked at `askedAtMs` on the steady clock, has no limit. */
+  /**
+   * Records that the allocator's account, asked at `askedAtMs` on the steady clock, has no limit
+   * for a server.
+   */
   recordUnlimited(instanceId: string, askedAtMs: number): void;
   /** The limits known to this VM, for the account. */
   list(): readonly NamedLimit[];
   /** Sets the listener for reports that must be sent to the account of a server. */
   onReport(listener: (report: PendingReport) => void): void;
+  /** Removes limits that have expired; called periodically. */
   sweep(): void;
   describe(): JsonValue;
 }
 
-/** A directive not yet reported to the account; times on the steady clock of this VM. */
+/**
+ * What an answer says about the limit of its server, not yet reported to the account; times on the
+ * steady clock of this VM.
+ */
 export interface PendingReport {
   readonly instanceId: string;
   readonly directive: LimitDirective;
--- a/packages/entry/src/readiness.ts
+++ b/packages/entry/src/readiness.ts
@@ -9,7 +9,7 @@
   };
   /** Maximum time for which a revoked key may still be served. */
   readonly revocationMs: number;
-  /** Whether the VM can accept new connections of callers; it is not ready while it cannot. */
+  /** Whether the VM can accept new connections of callers; otherwise it is not ready. */
   readonly canAccept?: () => boolean;
 }
 
@@ -21,12 +21,13 @@
   /** Whether callers should be directed to this VM. */
   isReady(): boolean;
   memberState(): MemberFact['state'];
+  /** From now on the VM is not ready, and reports that it is leaving. */
   beginLeaving(): void;
 }
 
 /**
- * Share of the revocation bound at which a confirmation is too old; the remainder covers the time
- * that it takes to arrive.
+ * Share of `revocationMs` after which a confirmation is too old. The rest covers the time that a
+ * confirmation takes to arrive.
  */
 const FRESH_SHARE = 0.85;
 
--- a/packages/entry/src/requestReport.ts
+++ b/packages/entry/src/requestReport.ts
@@ -12,7 +12,7 @@
   readonly documentVersion: () => number | null;
   /** Age of the last confirmation that the document is the latest. */
   readonly confirmedAgeMs: () => number;
-  /** Age of the facts that requests are routed by. */
+  /** Age of the facts, which are the records that VMs replicate by gossip. */
   readonly factsAgeMs: () => number;
 }
 
@@ -30,7 +30,7 @@
   return durationMs === undefined ? undefined : Math.round(durationMs);
 }
 
-/** Log fields of the decision where a stream ran. */
+/** Log fields of the slot that a stream was given. */
 function describeSlot(slot: SlotDecision | null | undefined) {
   if (!slot) return {};
   return {
--- a/packages/entry/src/slots/allocatorRank.ts
+++ b/packages/entry/src/slots/allocatorRank.ts
@@ -1,4 +1,7 @@
-/** Selects the VM that allocates the slots of a data centre, and its fallback. */
+/**
+ * Selects the VM that allocates the slots of a data centre's chains, and its fallback. A slot is
+ * the permission to put the load of one request on a chain of engines.
+ */
 import type { MemberFact } from '@spoolplank/membership';
 import { rankByRendezvous } from '@spoolplank/shared';
 import type { Clock } from '@spoolplank/shared';
@@ -13,8 +16,8 @@
   /** The VM to ask for slots of a data centre; undefined if none is available. */
   find(dataCentre: string): MemberFact | undefined;
   /**
-   * The host of the VM that the other VMs ask, as far as this VM knows. A VM that only times out
-   * here remains the owner, as it may still allocate slots to others.
+   * The host of the VM that the other VMs ask, as far as this VM knows. A VM that only timed out
+   * towards this VM remains the owner, as it may still allocate slots to others.
    */
   findOwner(dataCentre: string): string | undefined;
   /** Records that a VM answered, which clears its failures. */
@@ -42,17 +45,29 @@
  * list after 2.6 s; one that was only slow is asked again after this time.
  */
 const UNAVAILABLE_MS = 2000;
-/** Covers the first second after all VMs were lost, in which answers are slow. */
+/**
+ * Pause after a timeout. Three timeouts with two pauses take about a second, which covers the slow
+ * answers in the first second after a loss of all VMs.
+ */
 const TIMEOUT_BACKOFF_MS = 300;
-/** Consecutive timeouts that short overload does not explain. */
+/**
+ * Consecutive timeouts after which a VM counts as unavailable, as a short overload does not explain
+ * them.
+ */
 const MAX_TIMEOUTS = 3;
 
 /** Failures of another VM, as observed by this VM. */
 interface Health {
-  /** Until then the VM counts as refusing: it refused a connection or had no configuration. */
+  /**
+   * Until then the VM is neither asked nor regarded as the owner, because it refused a connection
+   * or had no configuration.
+   */
   readonly refusedUntilMs: number;
+  /** Until then the next VM is asked instead, for that reason or after `MAX_TIMEOUTS`. */
   readonly unavailableUntilMs: number;
+  /** Until then neither the VM nor the next one is asked, after a single timeout. */
   readonly backoffUntilMs: number;
+  /** Consecutive timeouts. */
   readonly timeouts: number;
 }
 
@@ -67,7 +82,10 @@
   const healths = new Map<string, Health>();
   const rankings = new Map<string, Ranking>();
 
-  /** Caches the order while the names are unchanged: hashing sixty names a request is expensive. */
+  /**
+   * Caches the order while the names are unchanged; hashing sixty names for each request is
+   * expensive.
+   */
   function rankHosts(dataCentre: string, hosts: readonly string[]): readonly string[] {
     const names = hosts.join(' ');
     const known = rankings.get(dataCentre);
--- a/packages/entry/src/slots/dataCentreRank.ts
+++ b/packages/entry/src/slots/dataCentreRank.ts
@@ -1,10 +1,13 @@
-/** Ranks the data centres that a request asks for a slot, by the capacity that each publishes. */
+/**
+ * Ranks the data centres that a request asks for a slot, by the capacity that each publishes as a
+ * fact, which is a record that all VMs replicate by gossip.
+ */
 import type { Fact, CapacityFact, ServiceCapacity } from '@spoolplank/membership';
 
 /** A data centre that may have a free slot. */
 export interface RankedDataCentre {
   readonly dataCentre: string;
-  /** Whether its published load is below `CAPACITY_SHARE`. */
+  /** Whether its published load is below `CAPACITY_SHARE`, so that it probably has a free slot. */
   readonly hasRoom: boolean;
 }
 
@@ -22,7 +25,10 @@
 const REMOTE_PENALTY = 0.25;
 /** Load above which a data centre is treated as full, as capacities are up to two seconds old. */
 const CAPACITY_SHARE = 0.8;
-/** Sorts the own data centre last while it has no chain; one may just have come back. */
+/**
+ * Cost of a data centre without a chain, which is not asked. The own data centre is an exception:
+ * it is asked last, as one of its chains may just have come back.
+ */
 const NO_CHAIN_COST = 10;
 
 function costOf(service: ServiceCapacity | undefined): number {
--- a/packages/entry/src/slots/slotAccount.ts
+++ b/packages/entry/src/slots/slotAccount.ts
@@ -1,6 +1,7 @@
 /**
  * Tracks the load in flight on the chains of a data centre, on the VM that allocates their slots:
- * its own ledger, and the load that VMs report for as long as the ledger may be incomplete.
+ * from the slots in its own ledger and, while the ledger may be incomplete, also from the load that
+ * VMs report.
  */
 import { createSlotLedger } from '@spoolplank/routing';
 import type { HeldSlot, SlotLedger } from '@spoolplank/routing';
@@ -15,15 +16,21 @@
 }
 
 export interface SlotAccount extends SlotLedger {
-  /** Records a call of any VM. The first call after an idle period starts recovery. */
+  /**
+   * Records a call of any VM. The first call after an idle period starts recovery: the ledger is
+   * rebuilt from the slots that the VMs list.
+   */
   recordUse(): void;
   /** Total size in flight on a chain; includes reported load while the account is incomplete. */
   inFlightOn(headId: string): number;
 }
 
-/** Time after the first call during which slots held by other VMs may be missing. */
+/**
+ * Time after the first call during which slots of other VMs may be missing from the ledger. Each VM
+ * lists its slots about once a second.
+ */
 const RECOVERY_MS = 1300;
-/** Idle time after which the account is recovered again from the calls of the holders. */
+/** Time without any call after which the next call starts recovery again. */
 const IDLE_RESET_MS = 2600;
 
 export function createSlotAccount(options: SlotAccountOptions): SlotAccount {
--- a/packages/entry/src/slots/slotAllocator.ts
+++ b/packages/entry/src/slots/slotAllocator.ts
@@ -1,9 +1,11 @@
 /**
- * Allocates the slots of a data centre's chains to all VMs, from one account and one queue for each
- * service.
+ * Allocates the slots of a data centre's chains to all VMs, from one account of the load in flight
+ * and one queue for each service. A slot is the permission to put the load of one request on a
+ * chain.
  *
- * `slotLedger` describes the load pattern that this handles. With one queue for all VMs, the next
- * slot goes to the first of all waiting requests, not to the VM that polls first.
+ * The load pattern that makes one allocator necessary is described in `slotLedger`. With one queue
+ * for all VMs, the next slot goes to the first of all waiting requests, not to the VM that happens
+ * to poll first.
  */
 import type { ServiceCapacity } from '@spoolplank/membership';
 import { createRetryTurns } from '@spoolplank/routing';
@@ -49,7 +51,7 @@
 }
 
 interface Ticket {
-  /** The latest ask: the chains that back off for the asking VM change while it is queued. */
+  /** The latest repetition of the ask; the chains that back off for its VM may have changed. */
   ask: SlotAsk;
   readonly leavesAtMs: number;
   lastAskedAtMs: number;
@@ -65,7 +67,9 @@
 
 const keyOf = (holder: string, ticket: string): string => `${holder} ${ticket}`;
 
-/** Asks are repeated every half second; one not repeated for this long has been abandoned. */
+/**
+ * Asks are repeated every half second; an ask that was not repeated for this long was abandoned.
+ */
 const ABANDONED_AFTER_MS = 900;
 /** Interval at which the queue looks for slots. A released slot is reported within about 30 ms. */
 const POLL_MS = 20;
@@ -140,7 +144,7 @@
     return clock.nowMs() < leavesAtMs ? 'hopeless' : 'time-over';
   }
 
-  /** Tries once without queueing; grants nothing while others are queued, as they come first. */
+  /** Tries once without queueing; grants nothing while requests are queued, as these come first. */
   function tryOnce(holder: string, ask: SlotAsk): SlotReply {
     const queue = queueOf(ask.service);
     const slot = queue.length === 0 ? findSlot(holder, ask) : undefined;
@@ -183,7 +187,10 @@
     end(holder, name);
   }
 
-  /** Removes the tickets of settled asks that are not repeated; the queue drops the others. */
+  /**
+   * Removes the tickets of settled asks that are not repeated; tickets that are still queued are
+   * dropped by the queue.
+   */
   function removeAbandoned(): void {
     const oldestMs = clock.nowMs() - ABANDONED_AFTER_MS;
     tickets.forEach(({ outcome, lastAskedAtMs }, key) => {
--- a/packages/entry/src/slots/slotChains.ts
+++ b/packages/entry/src/slots/slotChains.ts
@@ -1,9 +1,11 @@
 /**
- * Determines which chains of a data centre may serve a request, and selects the best of them.
+ * Determines which chains of a data centre may serve a request, and selects the best of them. A
+ * chain is a sequence of engines that together hold all layers of a model. A plain server, which
+ * serves requests without a model, counts as a chain with a single stage.
  *
- * A chain whose engine asked one VM for a backoff is excluded for that VM alone, as others may
- * still use it. An engine that rejected a request of a VM in this data centre is excluded for all
- * VMs for a short time; otherwise each VM would run into the same rejection.
+ * If an engine asked one VM for a backoff, its chains are excluded for that VM alone, as other VMs
+ * may still use them. An engine that rejected a request of a VM in this data centre is excluded for
+ * all VMs for a short time; otherwise each VM would run into the same rejection.
  */
 import type { ServiceCapacity } from '@spoolplank/membership';
 import type { ModelDescription } from '@spoolplank/routing';
@@ -19,7 +21,7 @@
   readonly dataCentre: string;
   readonly chains: Pick<ChainChoice, 'listOf'>;
   readonly modelOf: (service: string) => ModelDescription | undefined;
-  /** Servers in this data centre of a service without a model. */
+  /** Plain servers of a service in this data centre. */
   readonly listServers: (service: string) => readonly BackendTarget[];
   /** Permits for servers of this data centre that set a rate limit. */
   readonly limits: Pick<LimitAccount, 'perSOf' | 'ratePerS' | 'hasPermit'>;
@@ -38,8 +40,8 @@
   hasUsable(ask: SlotAsk): boolean;
   /**
    * Whether every chain has rejected the request or is closed to the asking VM, so that waiting
-   * cannot help. Chains that failed under a stream that has begun do not count as rejecting it: the
-   * stream waits for another chain, and the failed ones may be repaired meanwhile.
+   * cannot help. For a stream that has begun, only closed chains count: the chains that failed
+   * under it may be repaired while it waits.
    */
   isTurnedAway(ask: SlotAsk): boolean;
   /** Slots per second that rate limits allow; null if some usable chain has no limit. */
@@ -50,16 +52,17 @@
 
 /** Stands for infinity, which JSON cannot represent. */
 const UNBOUNDED = Number.MAX_SAFE_INTEGER;
-/** Share of a chain available to new streams; the rest is reserved for streams that have begun. */
+/** Share of a chain for new streams; the rest is reserved for streams that have begun. */
 const ADMITTED_SHARE = 0.94;
 /**
- * Time for which an engine that rejected a request of one VM is excluded for all VMs. By then it is
- * known whether the engine is lost; without the exclusion each VM would find out by itself.
+ * Time for which an engine that rejected a request of one VM is excluded for all VMs. After this
+ * time it is known whether the engine is lost. Without the exclusion, a request of each VM would be
+ * rejected by it.
  */
 const AVOID_MS = 300;
-/** Typical duration of a stream. */
+/** Typical duration of a stream, for the number of permits that count as capacity. */
 const TYPICAL_STREAM_S = 3;
-/** Time to first event that adds as much cost as a full chain. */
+/** A time to first event of this length costs as much as a full chain. */
 const SLOW_FIRST_EVENT_MS = 500;
 
 /** Represents a plain server as a chain with a single stage. */
@@ -72,7 +75,10 @@
   const { clock, dataCentre, chains, limits, inFlightOn } = options;
   const avoidedUntilMs = new Map<string, number>();
 
-  /** Ignores other data centres: there, the network path rather than the engine may be at fault. */
+  /**
+   * Ignores calls from other data centres, as the network path from there may be at fault rather
+   * than the engine.
+   */
   function recordAvoided({ dataCentre: from, ask }: SlotCall): void {
     if (from !== dataCentre || !ask) return;
     const untilMs = clock.nowMs() + AVOID_MS;
@@ -83,7 +89,7 @@
     return ask.avoidedIds.includes(id) || (avoidedUntilMs.get(id) ?? 0) > clock.nowMs();
   }
 
-  /** Whether the asking VM must not send to an engine of the chain. Other VMs may still use it. */
+  /** Whether the asking VM must not send to an engine of the chain; other VMs may still use it. */
   function isClosed({ stages }: RatedChain, { closedIds = [] }: SlotAsk): boolean {
     return closedIds.length > 0 && stages.some(({ id }) => closedIds.includes(id));
   }
--- a/packages/entry/src/slots/slotClient.ts
+++ b/packages/entry/src/slots/slotClient.ts
@@ -1,6 +1,7 @@
 /**
- * Requests slots for this VM's requests from the allocator of each data centre. If no allocator
- * answers, the outcome is `unavailable`, and the caller chooses a chain from local knowledge.
+ * Requests slots for this VM's requests from the allocator of each data centre. A slot is the
+ * permission to put the load of one request on a chain of engines. If no allocator answers, the
+ * outcome is `unavailable`, and the caller chooses a chain by the load that this VM knows of.
  */
 import type { MemberFact } from '@spoolplank/membership';
 import type { HeldSlot, NamedLimit } from '@spoolplank/routing';
@@ -14,17 +15,25 @@
 
 /** A request that needs a slot; times on this VM's clock. */
 export interface SlotRequest {
+  /** Identifies the slot; unique among the attempts of this VM. */
   readonly ticket: string;
   readonly service: string;
+  /** Memory that the request needs, relative to a request of typical size. */
   readonly size: number;
+  /** 0 is the highest. */
   readonly priority: number;
+  /** Whether the caller has already received a part of the stream. */
   readonly hasBegun: boolean;
+  /** Whether the caller has tried before. */
   readonly isRetry: boolean;
   readonly arrivedAtMs: number;
+  /** Until then a slot still meets the latency target. */
   readonly inTimeUntilMs: number;
+  /** Time at which the request stops waiting. */
   readonly leavesAtMs: number;
   /** Plain servers that may serve the request; undefined for a stream, which needs a chain. */
   readonly heads?: readonly string[];
+  /** First engines of the chains that were already tried. */
   readonly excludedHeads: ReadonlySet<string>;
   /** Data centres that have chains for the request, best first; called in each round. */
   readonly rankDataCentres: () => readonly RankedDataCentre[];
@@ -63,7 +72,10 @@
   readonly listClosed: () => readonly string[];
   /** Rate limits that servers of a data centre set in their answers to this VM. */
   readonly listLimits: (dataCentre: string) => readonly NamedLimit[];
-  /** Called with a server for which the allocator, asked at a steady time, knows no limit. */
+  /**
+   * Called with a server for which the allocator, asked at `askedAtMs` on the steady clock, knows
+   * no rate limit.
+   */
   readonly onUnlimited: (headId: string, askedAtMs: number) => void;
   /** Called when a call to an allocator failed or timed out. */
   readonly onFailure: (target: MemberFact, problem: string) => void;
@@ -84,7 +96,10 @@
 
 /** Interval at which leases are renewed; a lease lasts a little over twice as long. */
 const RENEW_MS = 1000;
-/** A round trip takes 1 ms, more on a busy VM. Too short to cover a retransmission, on purpose. */
+/**
+ * Time beyond the hold time after which a call counts as failed. A round trip takes 1 ms, and more
+ * on a busy VM. The retransmission of a lost packet takes longer and is not waited for, on purpose.
+ */
 const ANSWER_TIMEOUT_MS = 120;
 /**
  * Time for which the allocator holds a queued call. It bounds the time until a lost allocator is
@@ -96,9 +111,12 @@
  * within milliseconds, and timers are off by at most 1 ms.
  */
 const TIMEOUT_SHARE = 0.9;
-/** The allocator and one fallback. */
+/** Number of VMs that one call is sent to: the allocator and one fallback. */
 const MAX_ATTEMPTS = 2;
-/** The first call to a queue, and calls to other data centres, return without waiting. */
+/**
+ * Hold time of the first call to a queue and of calls to other data centres, which are not to wait
+ * for a slot.
+ */
 const PROBE_HOLD_MS = 1;
 
 /** Refusal of a request whose waiting time ended on this VM while it was queued. */
@@ -168,7 +186,8 @@
         if (isTimeout) rank.recordTimeout(target.host);
         else rank.recordUnavailable(target.host);
         options.onFailure(target, error instanceof Error ? error.message : String(error));
-        // The late answer may have granted a slot, which must be released.
+        // The allocator may have granted a slot in an answer that was lost or late, so the ticket
+        // is cancelled.
         if (ask) outbox.giveUp(dataCentre, ask.ticket);
       }
     }
@@ -256,7 +275,8 @@
           const chain = await askDataCentre(search, step);
           if (chain) {
             const { queuedAt } = search;
-            // Leaves the queue of the other data centre, or returns a slot that it granted since.
+            // Cancels the ticket in the data centre in whose queue it still is, or which has
+            // granted it a slot in the meantime.
             if (queuedAt !== undefined && queuedAt !== chain.dataCentre) {
               outbox.giveUp(queuedAt, request.ticket);
             }
--- a/packages/entry/src/slots/slotFinder.ts
+++ b/packages/entry/src/slots/slotFinder.ts
@@ -1,6 +1,8 @@
 /**
- * Finds a chain for a stream, or tells its caller when to retry. Slots are granted by the allocator
- * of a data centre; an entry that reaches no allocator chooses a chain from its own knowledge.
+ * Finds a chain of engines for a stream, or tells its caller when to retry. A slot is the
+ * permission to put the load of one request on a chain; the allocator of the chain's data centre
+ * grants it. An entry that reaches no allocator chooses a chain by the load that it knows of
+ * itself.
  */
 import type { Clock, ErrorCode, Random } from '@spoolplank/shared';
 import { SpoolplankError } from '@spoolplank/shared';
@@ -37,7 +39,9 @@
   readonly ticket: string;
   /** First engines of the chains that were already tried. */
   readonly excludedHeads: ReadonlySet<string>;
-  /** Whether the request must not be run any more. */
+  /**
+   * Whether the request must not be run any more, because its content was quarantined meanwhile.
+   */
   readonly isUnwanted: () => boolean;
 }
 
@@ -52,16 +56,16 @@
   toBegin(search: SlotSearch): Promise<ChosenChain | undefined>;
   /**
    * Finds the chain on which a partly delivered stream continues. Waits for a chain with free
-   * capacity, or for one under repair: moving all streams of a lost engine onto full chains at once
-   * would delay the other streams there, and the stream is paused already. Once
-   * `MAX_STREAM_PAUSE_MS` has passed it takes a full chain rather than abort an admitted stream.
+   * capacity, possibly the previous one after its repair: moving all streams of a lost engine onto
+   * full chains at once would delay the streams that run there. Once the stream has been silent for
+   * `MAX_STREAM_PAUSE_MS`, it takes a full chain, as the alternative is to abort it.
    */
   toResume(search: SlotSearch, silentSinceMs: number): Promise<ChosenChain | undefined>;
   /** Time after which the caller of a request that no chain accepted should retry. */
   retryAfterMs(search: Pick<SlotSearch, 'admitted' | 'model'>): number;
 }
 
-/** Callers wait two seconds for a first event; the rest of that is for one failed attempt. */
+/** Callers wait two seconds for a first event; the other 800 ms are left for one failed attempt. */
 const MAX_ADMISSION_WAIT_MS = 1200;
 const ADMISSION_POLL_MS = 15;
 /** 90th percentile of the time to first event, relative to its mean. */
@@ -69,8 +73,8 @@
 /** About two seconds of the traffic of a busy entry. */
 const MAX_QUEUE_LENGTH = 30;
 /**
- * Longest pause of a begun stream that waits for free capacity. Callers give up after two seconds,
- * and repeating the prefill may take half a second on a full chain.
+ * Longest pause of a begun stream that waits for free capacity. Callers give up after a pause of
+ * two seconds, and repeating the prefill may take 500 ms of that on a full chain.
  */
 const MAX_STREAM_PAUSE_MS = 1400;
 const CHAIN_POLL_MS = 50;
@@ -124,7 +128,7 @@
     return chain?.hasRoom ? chain : undefined;
   }
 
-  /** Chooses a chain in data centres without an allocator, which have engines but no VMs. */
+  /** Chooses a chain in data centres that have engines but no entry VM, and so no allocator. */
   function findUnallocated(search: SlotSearch): ChosenChain | undefined {
     return chooseWithCapacity(search, (dataCentre) => !options.hasAllocator(dataCentre));
   }
--- a/packages/entry/src/slots/slotMessages.ts
+++ b/packages/entry/src/slots/slotMessages.ts
@@ -1,4 +1,8 @@
-/** Messages between VMs and the allocator of a data centre's slots. */
+/**
+ * Messages between VMs and the allocator of a data centre's slots. A slot is the permission to put
+ * the load of one request on a chain of engines, or to send one request to a plain server; in each
+ * data centre one VM grants all slots.
+ */
 import type { HoldingsReport, NamedLimit, PathStage } from '@spoolplank/routing';
 import type { LimitReport } from '../limits/limitAccount';
 
@@ -15,17 +19,22 @@
   readonly hasBegun: boolean;
   /** Whether the caller has tried before. */
   readonly isRetry: boolean;
+  /** Time since the request arrived at the asking VM. */
   readonly waitedMs: number;
   /** Time left in which a slot still meets the latency target; negative if it is too late. */
   readonly inTimeForMs: number;
+  /** Time left until the request gives up waiting. */
   readonly leavesInMs: number;
   /** Plain servers that may serve the request; undefined for a stream, which needs a chain. */
   readonly heads?: readonly string[];
   /** First engines of the chains that were already tried. */
   readonly excludedHeads: readonly string[];
-  /** Engines that the asking VM avoids for now, as they rejected a request. */
+  /** Engines that rejected a request of the asking VM recently. */
   readonly avoidedIds: readonly string[];
-  /** Engines that asked this VM alone for a backoff, or are leaving; other VMs may use them. */
+  /**
+   * Engines that the asking VM must not send to: they asked it for a backoff or announced to it
+   * that they leave. Excluded for this VM only.
+   */
   readonly closedIds?: readonly string[];
   /** Rate limits that servers set in their answers to the asking VM. */
   readonly limits?: readonly NamedLimit[];
@@ -35,7 +44,9 @@
   readonly holdMs: number;
 }
 
-/** Lists all slots that a VM holds in a data centre; may contain an ask. */
+/**
+ * Lists all slots that a VM holds in a data centre, which renews their leases; may contain an ask.
+ */
 export interface SlotCall extends HoldingsReport {
   /** Identifies the calling VM and the incarnation of its process. */
   readonly holder: string;
@@ -43,7 +54,7 @@
   readonly dataCentre: string;
   /** Cancelled tickets, whose requests were not sent. */
   readonly givenUp: readonly string[];
-  /** Tickets of requests that ended before they were ever listed. */
+  /** Tickets of requests that were sent and ended before any call listed their slots. */
   readonly ended?: readonly string[];
   /** Statements of the data centre's servers about their limits since the last call. */
   readonly limitReports?: readonly LimitReport[];
@@ -74,9 +85,17 @@
   | 'time-over';
 
 export type SlotReply =
+  /** The call contained no ask; its lists were recorded. */
   | { readonly kind: 'noted' }
+  /**
+   * The request has the slot; its VM holds it until it reports that the request has ended, or the
+   * lease of the slot expires.
+   */
   | { readonly kind: 'granted'; readonly slot: GrantedSlot }
-  /** No slot is free. The request is queued if it may wait; the caller repeats the ask. */
+  /**
+   * No slot is free. The request is queued if it may wait; the caller repeats the ask. `ahead` is
+   * the length of the queue.
+   */
   | { readonly kind: 'waiting'; readonly ahead: number }
   | {
       readonly kind: 'refused';
--- a/packages/entry/src/slots/slotOutbox.ts
+++ b/packages/entry/src/slots/slotOutbox.ts
@@ -1,4 +1,7 @@
-/** Collects the reports to send with the next call to the allocator of a data centre. */
+/**
+ * Collects what this VM has to report to the allocator of each data centre with the next call:
+ * cancelled and ended tickets, and statements of servers about their rate limits.
+ */
 import type { Clock } from '@spoolplank/shared';
 import { toLimitReport } from '../limits/serverLimits';
 import type { PendingReport } from '../limits/serverLimits';
@@ -24,7 +27,7 @@
   take(dataCentre: string): Pick<SlotCall, 'givenUp' | 'ended' | 'limitReports'>;
 }
 
-/** Reports within this time are sent in one call. */
+/** Reports that are added within this time are sent in one call. */
 const BATCH_MS = 30;
 
 /** Creates lists by data centre; taking a list empties it. */
--- a/packages/entry/src/slots/slotPermits.ts
+++ b/packages/entry/src/slots/slotPermits.ts
@@ -1,4 +1,7 @@
-/** Tracks the permits taken for slots until it is known whether they were used. */
+/**
+ * Tracks the permits taken for slots until it is known whether their requests were sent. A permit
+ * counts one request against the rate limit of a server.
+ */
 import type { HeldSlot } from '@spoolplank/routing';
 import type { LimitAccount } from '../limits/limitAccount';
 
--- a/packages/entry/src/slots/slotService.ts
+++ b/packages/entry/src/slots/slotService.ts
@@ -1,4 +1,8 @@
-/** Slot allocation on one entry: the allocator that serves other VMs, and the client of this VM. */
+/**
+ * Slot allocation on one entry: the allocator that grants slots to the VMs that ask this VM, and
+ * the client that requests slots for this VM's own requests. A slot is the permission to put the
+ * load of one request on a chain of engines.
+ */
 import { FACT_KEYS } from '@spoolplank/membership';
 import type { FactUpdate, MemberFact, CapacityFact, SystemFact } from '@spoolplank/membership';
 import { delay, scheduleTimer } from '@spoolplank/node';
@@ -57,7 +61,7 @@
   findAllocator(dataCentre: string): MemberFact | undefined;
   /** Methods that other entries call on this VM. */
   readonly methods: Readonly<Record<string, PeerMethod>>;
-  /** Records that a stream over a chain of a data centre ended. */
+  /** Records that a stream on a chain of a data centre ended, which releases its slot. */
   recordReleased(dataCentre: string, ticket: string): void;
   /** Renews the leases that are due; called periodically. */
   tick(): void;
@@ -68,7 +72,10 @@
   describe(): JsonValue;
 }
 
-/** Capacities are published every 800 ms through two control VMs; one of them may be lost. */
+/**
+ * Age from which a published capacity is ignored. Capacities are published every 800 ms and pass
+ * through two control VMs, one of which may be lost.
+ */
 const CAPACITY_LIFETIME_MS = 3500;
 
 export function createSlotService(options: SlotServiceOptions): SlotService {
@@ -147,13 +154,13 @@
     if (home !== undefined) client.reportLimit(home, report);
   });
 
-  /** Rate limits in this data centre, for VMs that have had no answer from the limited server. */
+  /** Rate limits in this data centre, published for VMs that have had no answer from the server. */
   function listLimitsPerS(): CapacityFact['limitsPerS'] {
-    const standing = account.list().flatMap(({ instanceId, perS }) => {
+    const inForce = account.list().flatMap(({ instanceId, perS }) => {
       const entry: readonly [string, number][] = perS === null ? [] : [[instanceId, perS]];
       return entry;
     });
-    return standing.length > 0 ? Object.fromEntries(standing) : undefined;
+    return inForce.length > 0 ? Object.fromEntries(inForce) : undefined;
   }
 
   return {
