--- a/packages/entry/src/gossip/entryFacts.ts
+++ b/packages/entry/src/gossip/entryFacts.ts
@@ -1,4 +1,7 @@
-/** The facts that an entry knows of others, and the exchange that publishes its own. */
+/**
+ * The facts that an entry knows, and the exchange with a control VM that publishes its own. A fact
+ * is a record that all VMs replicate by gossip; a statement is a fact that this VM publishes.
+ */
 import type { StoredDocument } from '@spoolplank/control';
 import {
   createDocumentCache,
@@ -39,7 +42,7 @@
   readonly onDocument: (document: RoutingDocument) => void;
 }
 
-/** Lists statements to send with each exchange. */
+/** Lists the facts of one component to publish with each exchange. */
 export type StatementSource = () => readonly FactUpdate<SystemFact>[];
 
 export interface EntryFacts {
--- a/packages/entry/src/gossip/entryFeed.ts
+++ b/packages/entry/src/gossip/entryFeed.ts
@@ -1,4 +1,7 @@
-/** Exchanges facts between an entry and its current control VM. */
+/**
+ * Exchanges facts between an entry and its current control VM. A fact is a record that all VMs
+ * replicate by gossip.
+ */
 import type { StoredDocument } from '@spoolplank/control';
 import { createFeedClient } from '@spoolplank/membership';
 import type {
@@ -24,6 +27,7 @@
   readonly dataCentre: string;
   readonly table: FactTable<SystemFact>;
   readonly documents: DocumentCache<StoredDocument>;
+  /** The facts that this VM publishes with each exchange. */
   readonly statements: () => readonly FactUpdate<SystemFact>[];
   readonly listControlMembers: () => readonly MemberFact[];
   /** Hosts of control VMs named in the settings. */
@@ -34,7 +38,9 @@
 
 /** Long-poll time of an exchange; it amounts to 1.25 exchanges per second and process. */
 const FEED_WAIT_MS = 800;
+/** Timeout of an exchange: the long-poll time plus 600 ms. */
 const FEED_TIMEOUT_MS = 1400;
+/** Pause after a failed exchange. */
 const FEED_RETRY_MS = 100;
 /** Larger and infinite ages are logged as this value. */
 const MAX_AGE_MS = 60_000;
--- a/packages/entry/src/gossip/entryStatements.ts
+++ b/packages/entry/src/gossip/entryStatements.ts
@@ -1,4 +1,7 @@
-/** The statements that an entry makes about itself with each exchange of facts. */
+/**
+ * The facts that an entry publishes about itself with each exchange: its member state, its load,
+ * and the engines that it suspects. Facts are records that all VMs replicate by gossip.
+ */
 import { FACT_KEYS } from '@spoolplank/membership';
 import type {
   FactTable,
@@ -19,14 +22,14 @@
   readonly peerPort: number;
   readonly state: () => MemberFact['state'];
   readonly inFlight: () => LoadFact['inFlight'];
-  /** Suspicions that are still repeated. */
+  /** Recent suspicions of this entry, which are still published with each exchange. */
   readonly listSuspicions: () => readonly FactUpdate<SystemFact>[];
 }
 
 export interface EntryStatements {
-  /** The current statements, under a new sequence number. */
+  /** The facts to publish with the next exchange, under a new sequence number. */
   list(): readonly FactUpdate<SystemFact>[];
-  /** The last stated load. */
+  /** The load that was published last. */
   readonly statedLoad: LoadFact['inFlight'];
 }
 
--- a/packages/entry/src/gossip/ownStatements.ts
+++ b/packages/entry/src/gossip/ownStatements.ts
@@ -1,24 +1,30 @@
-/** One-time statements of this VM, which are repeated with each exchange for a while. */
+/**
+ * Publishes single facts of this VM, such as a crash, and repeats them with each exchange for some
+ * seconds. Facts are records that all VMs replicate by gossip.
+ */
 import type { Fact, FactTable, FactUpdate, SystemFact } from '@spoolplank/membership';
 import type { Clock } from '@spoolplank/shared';
 
 export interface OwnStatementsOptions {
   readonly clock: Clock;
   readonly table: FactTable<SystemFact>;
-  /** Sends the statements of this VM to others at once. */
+  /** Sends the facts that this VM publishes at once, instead of with the next exchange. */
   readonly spread: () => void;
 }
 
 export interface OwnStatements {
-  /** States a fact with the current time and sends it at once. */
+  /** Publishes a fact under the current time, at once. */
   state(key: string, body: SystemFact): void;
-  /** Statements to send with the next exchange, including the facts with the given keys. */
+  /** The facts to send with the next exchange: the repeated ones, and those with the given keys. */
   list(alsoKeys?: readonly string[]): readonly FactUpdate<SystemFact>[];
-  /** Removes statements that are no longer repeated. */
+  /** Forgets facts that are no longer repeated. */
   sweep(): void;
 }
 
-/** Covers the case that this VM has just switched its control VM, or that one has restarted. */
+/**
+ * Time for which a fact is repeated, in case the first message was lost because this VM was just
+ * switching its control VM, or because the control VM restarted.
+ */
 const STATEMENT_REPEAT_MS = 5000;
 
 export function createOwnStatements({ clock, table, spread }: OwnStatementsOptions): OwnStatements {
--- a/packages/entry/src/gossip/routingView.ts
+++ b/packages/entry/src/gossip/routingView.ts
@@ -1,4 +1,7 @@
-/** Indexes the configuration document and the facts for the routing of requests. */
+/**
+ * Indexes the configuration document and the facts for the routing of requests. Facts are records
+ * that all VMs replicate by gossip, such as the announcements of backend servers.
+ */
 import { FACT_KEYS, isLeaving, lostAfterMs, readSlowdown } from '@spoolplank/membership';
 import type {
   BackendFact,
@@ -20,12 +23,15 @@
   readonly documents: DocumentCache<Document>;
   readonly readDocument: (document: Document) => RoutingDocument;
   /**
-   * Time of the last reply of a source. Ages are measured up to this time, so that facts do not
-   * expire while the source is lost.
+   * Time of the last reply of this entry's control VM. Ages are measured up to this time, so that
+   * facts do not expire while no control VM replies.
    */
   readonly syncedAtMs: () => number;
   readonly announcementMs: number;
-  /** The last stated load of this entry, which is included in the sums and subtracted from them. */
+  /**
+   * The load that this entry published last. The sums over all entries include it; it is
+   * subtracted.
+   */
   readonly ownStatedLoad: () => LoadFact['inFlight'];
 }
 
@@ -37,20 +43,23 @@
   listMembers(role: MemberFact['role']): readonly MemberFact[];
   /** Requests that other entries have in flight on the chain with the given first engine. */
   othersInFlight(headId: string): number;
-  /** The last stated capacity of each data centre; some of these facts may be old. */
+  /** The capacities that the allocators of the data centres published; some may be outdated. */
   listCapacities(): readonly Fact<CapacityFact>[];
-  /** The rate limit of a server as stated by other VMs; null when there is none. */
+  /** The rate limit of a server as published by any allocator; null when there is none. */
   limitPerSOf(instanceId: string): number | null;
-  /** The time that ages are measured up to, on this VM's clock: the last reply of a source. */
+  /** Time up to which ages are measured, on this VM's clock: the last reply of a control VM. */
   referenceMs(): number;
   /** Factor by which an engine is slower than others of its kind. */
   slowdownOf(instanceId: string): number;
+  /** The backend server that last announced itself at an address. */
   findByAddress(address: string): Fact<SystemFact> | undefined;
-  /** Changes with every change that affects where requests are sent. */
+  /** Increases with every change that affects where requests are sent. */
   readonly revision: number;
 }
 
-/** Covers two exchanges that were held for the full wait, and one that was lost. */
+/**
+ * Age from which a member counts as lost: two exchanges with the full wait, and one that was lost.
+ */
 const MEMBER_LOST_MS = 2600;
 /** Interval at which ages are evaluated when no fact changes. */
 const REFRESH_MS = 200;
--- a/packages/entry/src/gossip/sourceChoice.ts
+++ b/packages/entry/src/gossip/sourceChoice.ts
@@ -1,4 +1,7 @@
-/** Selects the control VM of an entry: the preferred one, or the next one while that fails. */
+/**
+ * Selects the control VM with which an entry exchanges facts: the first one in order of preference,
+ * or a later one while the earlier ones fail.
+ */
 import type { Clock } from '@spoolplank/shared';
 
 export interface SourceChoiceOptions {
@@ -8,26 +11,33 @@
 }
 
 export interface SourceChoice {
-  /** The control VM to use now; empty when none is known. */
+  /** The control VM to use now; an empty string when none is known. */
   current(): string;
   /** Records that the current control VM did not reply. */
   recordFailure(): void;
   /**
-   * Records a reply with the age of its confirmation of the settings, or null without one. Returns
-   * whether the control VM is abandoned: one that is partitioned from the others still replies, but
-   * has nothing new.
+   * Records a reply, with the age of its confirmation that the settings are the latest, or null if
+   * it has no confirmation. Returns whether the control VM is abandoned for the next one: a control
+   * VM that is partitioned from the others still replies, but its confirmation grows old.
    */
   recordAnswer(confirmedAgeMs: number | null): boolean;
 }
 
 /**
- * Time after a failure until the preferred control VM is tried again. A failed attempt costs up to
- * 1.4 s without updates; staying with a remote control VM causes traffic between data centres.
+ * Time after a failure until the preferred control VM is tried again. It is a compromise: a failed
+ * attempt costs up to 1.4 s without updates, and staying with a remote control VM causes traffic
+ * between data centres.
  */
 const PREFERRED_RETRY_MS = 8000;
-/** A follower that is in contact with the leader is at most one or two 800 ms exchanges behind. */
+/**
+ * Age from which a confirmation is too old. A control VM in contact with the leader is at most one
+ * or two exchanges of 800 ms behind.
+ */
 const STALE_CONFIRMATION_MS = 1500;
-/** Keeps entries from cycling through all control VMs while none of them has a confirmation. */
+/**
+ * Minimum time between two switches, so that entries do not cycle through all control VMs while
+ * none of them has a confirmation.
+ */
 const MIN_SWITCH_INTERVAL_MS = 1000;
 /**
  * Time for which an entry stays with its control VM before the first confirmation. Until then,
@@ -53,7 +63,8 @@
       const sources = list();
       const [first = ''] = sources;
       // At startup only a few control VMs are known from the settings, most of them remote. A
-      // nearer one is tried as soon as it is known, regardless of earlier failures.
+      // nearer control VM is tried as soon as it is known, regardless of earlier failures of
+      // others.
       const isNewPreferred = first !== preferred;
       preferred = first;
       if (isNewPreferred || clock.nowMs() - failedAtMs > PREFERRED_RETRY_MS) index = 0;
--- a/packages/entry/src/gossip/syncHistory.ts
+++ b/packages/entry/src/gossip/syncHistory.ts
@@ -1,4 +1,7 @@
-/** Tracks how long this VM has exchanged facts without interruption. */
+/**
+ * Tracks how long this VM has exchanged facts (gossiped records) with a control VM without
+ * interruption.
+ */
 import type { Clock } from '@spoolplank/shared';
 import { MEMBERS_KNOWN_MS } from '../admission/retryBudgets';
 
--- a/packages/entry/src/quarantine/crashGuard.ts
+++ b/packages/entry/src/quarantine/crashGuard.ts
@@ -1,4 +1,8 @@
-/** Protects backend servers from requests that crash them: detects, judges and quarantines them. */
+/**
+ * Protects backend servers from requests that crash them: detects crashes, judges which contents
+ * caused them, and quarantines these contents. The VMs share what they observe as facts, which are
+ * records that all VMs replicate by gossip.
+ */
 import { parseInstanceId } from '@spoolplank/membership';
 import type {
   ClearanceFact,
@@ -33,9 +37,9 @@
   readonly view: RoutingView;
   readonly streams: StreamTable;
   readonly health: Pick<EngineHealth, 'isLost'>;
-  /** Whether a new connection to an address is accepted. */
+  /** Whether the server at an address accepts a new connection. */
   readonly isThere: (address: string) => Promise<boolean>;
-  /** Sends the statements of this VM to the others immediately. */
+  /** Sends the facts that this VM publishes at once, instead of with the next exchange. */
   readonly spread: () => void;
 }
 
@@ -43,11 +47,11 @@
   readonly quarantine: Quarantine;
   readonly crashes: CrashReporter;
   /**
-   * Records the loss of an engine as a crash under a stream on its path, if the stream has been
-   * answered but has had no event yet.
+   * Records the loss of an engine as a crash that the content of a stream on its path may have
+   * caused, if the head of the stream's response has arrived but no part of the body.
    */
   recordLost(row: StreamRow, instanceId: string): void;
-  /** Must be called when such a fact was stated, by this VM or another. */
+  /** Must be called with each such fact that this VM or another has published. */
   onFact(body: GuardFact): void;
   /** Removes expired facts. */
   sweep(): void;
@@ -82,13 +86,14 @@
 export function createCrashGuard(options: CrashGuardOptions): CrashGuard {
   const { clock, host, table, view, streams, health } = options;
 
-  /** Many streams report one crash at the same moment; their statements share one exchange. */
+  /** Many streams report one crash at the same moment; their facts are sent in one exchange. */
   const spreadSoon = createCoalesced((run) => scheduleTimer(run, 0), options.spread);
 
   /**
    * Whether an incarnation of a server has ended: it is suspected, its next incarnation is known,
-   * or another server has announced itself at its address since `sinceMs`. Older announcements
-   * prove nothing, as a slot may name an incarnation that this VM does not know yet.
+   * or another server has announced itself at its address since `sinceMs`. Older announcements of
+   * another server prove nothing: the incarnation, which a granted slot named, may be newer than
+   * what this VM knows of the address.
    */
   function hasEnded({ instanceId, address }: BackendTarget, sinceMs: number): boolean {
     const owner = view.findByAddress(address);
@@ -100,8 +105,9 @@
   }
 
   /**
-   * Returns the later incarnation of the server if it had announced itself before the request was
-   * sent. Otherwise two incarnations that crashed under one content would be counted as one.
+   * Returns the incarnation that received a request: a later one than the target, if that had
+   * announced itself before the request was sent. Otherwise the crashes of two incarnations under
+   * one content would be counted as one.
    */
   function findReceiver({ instanceId, address }: BackendTarget, sentAtMs: number): string {
     const owner = view.findByAddress(address);
@@ -132,7 +138,7 @@
     onEnd: quarantine.recordEnd,
   });
 
-  /** Cuts the streams in flight whose content is quarantined and that have had no event yet. */
+  /** Aborts the streams in flight whose content is quarantined, unless events have arrived. */
   function endQuarantined(): void {
     [...streams.list()]
       .filter(({ hasBegun, admitted }) => !hasBegun && quarantine.has(contentOf(admitted)))
@@ -140,8 +146,8 @@
   }
 
   /**
-   * Runs after all facts of one exchange have been merged. With only a part of them, a request that
-   * ran beside the crashing one could be quarantined and its streams cut.
+   * Runs after all facts of one exchange have been merged. Judged by only a part of them, a request
+   * that merely ran beside the crashing one could be quarantined, and its streams aborted.
    */
   const refreshSoon = createCoalesced(queueMicrotask, () => {
     if (quarantine.refresh()) endQuarantined();
--- a/packages/entry/src/quarantine/crashReporter.ts
+++ b/packages/entry/src/quarantine/crashReporter.ts
@@ -1,8 +1,9 @@
 /**
  * Distinguishes a crash of a backend server from the loss of a connection.
  *
- * While the cause is unknown, the run is announced to all VMs as open, so that a failure seen by
- * one VM alone is not lost if that VM stops.
+ * A run that broke off while its server still accepts connections may turn out to be a crash later.
+ * Until then it is published to all VMs as an open run, so that a crash that only one VM saw is
+ * counted even if that VM stops.
  */
 import { FACT_KEYS, OPEN_RUN_RETENTION_MS } from '@spoolplank/membership';
 import type {
@@ -18,23 +19,26 @@
 import { digestContent } from './requestContent';
 import type { RequestContent } from './requestContent';
 
-/** A run of a content on one incarnation of a backend server. */
+/** A run of a content on one incarnation of a backend server, which broke off. */
 export interface ServerRun {
   /** Digest of the content. */
   readonly content: string;
   readonly instanceId: string;
   readonly address: string;
-  /** How long the content had run there. */
+  /** How long the content had run on the server. */
   readonly ranMs: number;
 }
 
-/** A run whose server ended, with the evidence that the content had reached the server. */
+/**
+ * A run whose server ended. Its evidence is `run` if the server had started to execute the content,
+ * and `attempt` if the request had been sent without proof of that.
+ */
 export type EndedRun = Omit<CrashFact, 'kind'>;
 
 export interface CrashReporterOptions {
   readonly clock: Clock;
   readonly table: Pick<FactTable<SystemFact>, 'find'>;
-  /** Publishes a fact to all VMs. */
+  /** Publishes a fact, which is a record that all VMs replicate by gossip. */
   readonly state: (key: string, body: OpenRunFact) => void;
   /** Whether a server has ended while it ran the content. */
   readonly isSuspected: (content: RequestContent) => boolean;
@@ -55,11 +59,12 @@
 
 export interface CrashReporter {
   /**
-   * Publishes an attempt that is about to be sent, if servers have ended under its content: the
-   * head of its answer may be lost on the way, or this VM may stop.
+   * Publishes an attempt that is about to be sent as an open run, if servers have ended under its
+   * content. A crash then counts even if the head of the response is lost on the way, or this VM
+   * stops.
    */
   recordSend(content: RequestContent, target: BackendTarget): void;
-  /** Checks the server of a run that broke off; resolves once it has been checked. */
+  /** Checks whether the server of a run that broke off has crashed; resolves after the check. */
   record(run: ServerRun): Promise<void>;
   /** Must be called when an open run was published, by this VM or another. */
   onFact(body: OpenRunFact): void;
@@ -78,12 +83,12 @@
 const UNCHECKED: FollowedRun = { instanceId: null, reportsAtMs: null };
 
 /**
- * Interval between the reports of different VMs. The VM that published a run reports its end at
- * once; if that VM has stopped, the others follow in turn. A report reaches all of them over two
- * hops, each of which waits up to 50 ms.
+ * Interval between the reports of different VMs. The VM that published a run reports the end of its
+ * server at once; in case that VM has stopped, the others report it in turn, unless a report has
+ * reached them. A report takes two hops, each of which waits up to 50 ms, so 150 ms suffice.
  */
 const REPORT_STAGGER_MS = 150;
-/** Bounds memory: when a link is reset, many connections break while their servers live. */
+/** Bounds memory: the reset of a network link breaks many connections whose servers live on. */
 const MAX_OPEN_RUNS = 512;
 
 export function createCrashReporter(options: CrashReporterOptions): CrashReporter {
@@ -100,8 +105,9 @@
 
   /**
    * Counts the runs of the content under this instance id that had broken off before the run was
-   * sent. Either only their connections were lost, and none of them is a crash, or the server has
-   * restarted since.
+   * sent. If one of them was a crash, the server has restarted since, and the count tells its
+   * incarnations apart although the new instance id is not known yet. If only connections were
+   * lost, none of these runs is a crash, and the count does not matter.
    */
   function countBefore({ content, instanceId }: ServerRun, sentAtMs: number): number {
     let turn = 0;
@@ -109,7 +115,9 @@
     return turn;
   }
 
-  /** Attempts always have turn 0: one sent after the server's end may have reached no server. */
+  /**
+   * Attempts always have turn 0, as an attempt after the server's end may have reached no server.
+   */
   function toEnd(run: ServerRun, evidence: CrashEvidence, sentAtMs: number): EndedRun {
     const { content, instanceId, ranMs } = run;
     const turn = evidence === 'run' ? countBefore(run, sentAtMs) : 0;
--- a/packages/entry/src/quarantine/quarantine.ts
+++ b/packages/entry/src/quarantine/quarantine.ts
@@ -1,8 +1,9 @@
 /**
  * Quarantines request contents that crash the backend servers that run them.
  *
- * Every VM publishes which servers ended under which content, and decides from all published facts.
- * No single VM keeps a count that could be lost, delayed or partitioned off. See
+ * Every VM publishes which servers ended under which content as facts, which are records that all
+ * VMs replicate by gossip, and decides from the facts of all VMs. No single VM keeps a count that
+ * could be lost, delayed or partitioned off. See
  * docs/design/quarantine.md.
  */
 import { CRASH_RETENTION_MS, FACT_KEYS } from '@spoolplank/membership';
@@ -40,17 +41,22 @@
    * @throws SpoolplankError `quarantined` if it may not; the request has not run.
    */
   check(content: RequestContent): void;
+  /** Whether a content is quarantined. */
   has(content: RequestContent): boolean;
   /**
-   * Whether this VM itself may retry a request that broke off or was rejected. A request that two
-   * servers ended under is not retried: the router would cause the third crash. Its caller decides.
+   * Whether this VM itself may retry a request that broke off or was rejected. A request under
+   * which two servers have ended is not retried, as that could crash a third one; whether to try it
+   * again is left to its caller.
    */
   maySendOn(content: RequestContent): boolean;
-  /** Whether a server has ended while it ran the content. */
+  /** Whether at least one server has ended while it ran the content. */
   isSuspected(content: RequestContent): boolean;
   /** Records the end of a server under a content. */
   recordEnd(end: EndedRun): void;
-  /** Clears a content that was served by a server that is still alive. */
+  /**
+   * Records that a server has served a content and survived, which clears it of its earlier
+   * crashes.
+   */
   recordServed(content: RequestContent): void;
   /** Clears a content by its digest, for an operator; false if it was not suspected. */
   release(digest: string): boolean;
@@ -69,15 +75,18 @@
 }
 
 /**
- * Control VMs that all restart at once have lost all facts. Every VM republishes a few facts drawn
- * at random, so that all facts are back within about ten seconds. Eight facts of 270 bytes in 10 s
- * are 0.22 KB a second.
+ * Interval at which every VM republishes a few facts that it draws at random. Control VMs that all
+ * restart at once have lost all facts; this brings them back within about ten seconds. Eight facts
+ * of 270 bytes in 10 s are 0.22 KB a second.
  */
 const RESTATE_EVERY_MS = 10_000;
 const RESTATED_FACTS = 8;
 /** Maximum number of facts, the oldest are dropped first: 0.55 MB, and 0.4 ms to evaluate all. */
 const MAX_KEYS = 2000;
-/** Larger bodies are not tracked as served: they are hashed only while a content is suspected. */
+/**
+ * Larger bodies are not recorded as served, so that they are hashed only while some content is
+ * suspected.
+ */
 const MAX_TRACKED_BYTES = 65_536;
 const MS_PER_S = 1000;
 
@@ -87,7 +96,7 @@
   return body.kind === 'crash' ? FACT_KEYS.crash(body) : FACT_KEYS.clearance(body.content);
 }
 
-/** Identifies an ended run; the turn separates incarnations reached under one instance id. */
+/** Identifies an ended run. The turn distinguishes incarnations reached under one instance id. */
 function runOf({ instanceId, turn }: CrashFact): string {
   return `${instanceId}#${turn}`;
 }
@@ -174,7 +183,7 @@
     if (!isEvaluationDue) return false;
     const before = quarantined;
     evaluate();
-    // Other VMs that have not served these contents recently suspect them; this VM has served them.
+    // Contents that this VM has served recently are suspected only by VMs that have not.
     const known = [...quarantined].filter(served.has);
     known.forEach((content) => clear(content, 'served'));
     if (known.length > 0) evaluate();
--- a/packages/entry/src/quarantine/servedContents.ts
+++ b/packages/entry/src/quarantine/servedContents.ts
@@ -1,4 +1,6 @@
-/** Remembers contents that were served recently, which therefore do not crash servers. */
+/**
+ * Remembers contents that were served recently, and are therefore not suspected to crash servers.
+ */
 import type { Clock } from '@spoolplank/shared';
 
 export interface ServedContents {
@@ -7,8 +9,9 @@
 }
 
 /**
- * Time for which a served content counts as harmless. A content that all callers share, such as a
- * repeated look-up, runs on several servers at any moment and would be suspected when they fail.
+ * Time for which a served content counts as harmless. A content that many callers send, such as a
+ * common look-up, runs on several servers at any moment, and would otherwise be suspected when
+ * these servers fail together for another reason.
  */
 const HARMLESS_MS = 60_000;
 /** Maximum number of digests, about 0.4 MB; the oldest are dropped first. */
--- a/packages/entry/src/repair/engineHealth.ts
+++ b/packages/entry/src/repair/engineHealth.ts
@@ -1,4 +1,8 @@
-/** Tracks the engines that this entry excludes: those suspected by any entry, or avoided here. */
+/**
+ * Tracks the engines that this entry excludes. A suspected engine is one that some entry has found
+ * lost; the suspicion is published as a fact, a record that all VMs replicate by gossip. An avoided
+ * engine is excluded for a short time, by this entry only.
+ */
 import { FACT_KEYS, findBackend, hasRestarted } from '@spoolplank/membership';
 import type { FactTable, FactUpdate, SystemFact } from '@spoolplank/membership';
 import type { EventLog, Metrics } from '@spoolplank/node';
@@ -10,7 +14,7 @@
   readonly metrics: Metrics;
   readonly table: FactTable<SystemFact>;
   readonly dataCentre: string;
-  /** Sends a new suspicion to others at once. */
+  /** Sends the facts that this VM publishes at once, instead of with the next exchange. */
   readonly spread: () => void;
 }
 
@@ -18,7 +22,7 @@
   /** Excludes an engine on this VM for a while. */
   avoid(instanceId: string, durationMs?: number): void;
   isAvoided(instanceId: string): boolean;
-  /** Engines that this VM excludes now. */
+  /** Engines that this VM avoids now. */
   listAvoided(): readonly string[];
   /** Reports a lost engine to all entries, unless the network path to it may be at fault. */
   suspect(instanceId: string, evidence: string): void;
@@ -33,11 +37,17 @@
 
 /** Exclusion of an engine that could not run its stage, because it is full or leaving. */
 const DEFAULT_AVOID_MS = 500;
-/** Exclusion of an unresponsive remote engine: until its missing announcements would be noticed. */
+/**
+ * Exclusion of an unresponsive engine of another data centre, until its announcements are missed.
+ */
 const REMOTE_AVOID_MS = 1200;
-/** Suspicions are repeated for this long, in case this VM has just switched its control VM. */
+/**
+ * Time for which a suspicion is published with each exchange. The first message may go to a control
+ * VM that this VM is just replacing by another one.
+ */
 const SUSPICION_REPEAT_MS = 5000;
 
+/** A suspicion of this entry, with the sequence number of the announcement that it refers to. */
 interface OwnSuspicion {
   readonly sequence: number;
   readonly atMs: number;
@@ -56,7 +66,7 @@
     return (avoidedUntilMs.get(instanceId) ?? 0) > clock.nowMs();
   }
 
-  /** Avoids an engine of another data centre here only, as the path to it may be at fault. */
+  /** Avoids an engine of another data centre without publishing it: the path may be at fault. */
   function avoidRemote(instanceId: string, evidence: string): void {
     if (isAvoided(instanceId)) return;
     avoid(instanceId, REMOTE_AVOID_MS);
--- a/packages/entry/src/repair/engineProbes.ts
+++ b/packages/entry/src/repair/engineProbes.ts
@@ -1,10 +1,10 @@
 /**
  * Probes engines from one VM of their data centre on behalf of all others.
  *
- * When an engine is lost, all streams of its path fall silent on all entries at once. Connecting to
- * each engine of the path is cheap for one VM, but from seventy VMs it costs more than the loss. So
- * all of them ask the VM that allocates the slots of that data centre, which probes once for all
- * requests that arrive close together and replies to each requester directly.
+ * When an engine is lost, all streams of its path fall silent on all entries at once. If each of
+ * seventy VMs connected to each engine of the path, the connections would cost more than the loss.
+ * So all of them ask one VM, the allocator of that data centre's slots. It probes once for all
+ * requests that arrive close together, and replies to each requester directly.
  */
 import type { MemberFact } from '@spoolplank/membership';
 import type { EventLog, PeerClient, PeerMethod } from '@spoolplank/node';
@@ -42,13 +42,14 @@
   readonly engines: readonly BackendTarget[];
 }
 
+/** A probe of an engine, which is reused for `PROBE_REUSE_MS`. */
 interface Probe {
   readonly atMs: number;
   readonly isAccepting: Promise<boolean>;
 }
 
 const PROBE_METHOD = 'engines.probe';
-/** Time for which a probe is reused: requests about one path arrive within a pass or two. */
+/** Time for which a probe is reused. Requests about one path arrive within one or two ticks. */
 const PROBE_REUSE_MS = 150;
 /**
  * Connection attempts of one probe. They start `NEXT_TRY_DELAY_MS` apart and share one timeout. A
@@ -59,8 +60,8 @@
 const NEXT_TRY_DELAY_MS = 20;
 const PROBE_TIMEOUT_MS = 80;
 /**
- * Duration from which a failed probe proves nothing about the engine: this VM was suspended or
- * throttled, and saw no connection during that time.
+ * Duration from which a failed probe proves nothing about the engine: it exceeds the timeout, so
+ * this VM was suspended or throttled and may have missed an accepted connection.
  */
 const LOCAL_STALL_MS = 120;
 /**
@@ -100,7 +101,8 @@
 
   /**
    * Whether one of several connections is accepted. The next attempt starts as soon as the previous
-   * one is refused or has been pending for a moment, so that a lost packet is not waited for.
+   * one is refused or has been pending for `NEXT_TRY_DELAY_MS`, so that a lost packet costs little
+   * time.
    */
   async function probe(address: string): Promise<boolean> {
     const startedAtMs = clock.nowMs();
@@ -150,7 +152,9 @@
     return quorum;
   }
 
-  /** Probes once enough VMs have asked; a path that only a few report is slow for these alone. */
+  /**
+   * Probes once enough VMs have asked; a path that only a few VMs report as silent is just slow.
+   */
   async function answer(requester: string, engines: readonly BackendTarget[]) {
     const quorum = quorumOf(engines);
     quorum.requesters.add(requester);
--- a/packages/entry/src/repair/pathRepair.ts
+++ b/packages/entry/src/repair/pathRepair.ts
@@ -1,4 +1,7 @@
-/** Finds another path for a running stream whose path has lost an engine. */
+/**
+ * Finds another path for a running stream whose path has lost an engine. A path is the sequence of
+ * engines, each with its layers of the model, that the stream passes through.
+ */
 import { findStagePath } from '@spoolplank/routing';
 import type { ModelDescription, PathStage } from '@spoolplank/routing';
 import type { Random } from '@spoolplank/shared';
@@ -7,11 +10,14 @@
 export interface PathRepairOptions {
   readonly random: Random;
   readonly catalog: Pick<ChainCatalog, 'listEnginesInSameDataCentre'>;
-  /** Remaining backoff of an engine towards this VM, in milliseconds; 0 when there is none. */
+  /** Time for which an engine asked this VM to send it nothing, in milliseconds; else 0. */
   readonly backoffMsOf: (instanceId: string) => number;
 }
 
-/** Finds a path that keeps the first stage and as many others as possible, if there is one. */
+/**
+ * Finds a path that keeps the first stage, and the other stages whose engines are not lost if that
+ * is possible; undefined when there is no path with the first stage.
+ */
 export type PathRepair = (
   service: string,
   model: ModelDescription,
--- a/packages/entry/src/repair/pathSilence.ts
+++ b/packages/entry/src/repair/pathSilence.ts
@@ -1,17 +1,17 @@
-/** Tracks when an event last arrived over each path, from the streams of this entry. */
+/** Determines when an event last arrived over each path, from the streams of this entry. */
 import type { PathStage } from '@spoolplank/routing';
 import type { StreamRow } from '../dispatch/streamTable';
 
 export interface PathSilence {
   /** Key of a path: streams over the same engines and layers share it. */
   keyOf(stages: readonly PathStage[]): string;
-  /** Time of the last event over each path, by key, on this VM's clock. */
+  /** Time of the last event over each path, by key, on this VM's clock; none before an event. */
   lastEventByPath(rows: Iterable<StreamRow>): ReadonlyMap<string, number>;
 }
 
 export function createPathSilence(): PathSilence {
-  // Each slot arrives over the network with its own stage objects, so equal paths are recognised by
-  // value; the map caches the key of each object.
+  // Each granted slot arrives over the network with its own stage objects, so equal paths are
+  // recognised by value. The map caches the key of each object.
   const keyByStages = new WeakMap<readonly PathStage[], string>();
 
   function keyOf(stages: readonly PathStage[]): string {
--- a/packages/entry/src/repair/streamRepair.ts
+++ b/packages/entry/src/repair/streamRepair.ts
@@ -1,6 +1,6 @@
 /**
  * Watches running streams for silence, finds the lost engine, and moves the streams of its path to
- * another path.
+ * another path. A path is the sequence of engines that a stream passes through.
  */
 import type { PathStage } from '@spoolplank/routing';
 import type { BackendTarget } from '../dispatch/backendOperations';
@@ -17,7 +17,7 @@
   readonly chains: ChainChoice;
   /** Reports a lost engine to all entries. */
   readonly suspect: (instanceId: string, evidence: string) => void;
-  /** Excludes an engine on this VM for a while. */
+  /** Excludes an engine on this VM for a short time. */
   readonly avoid: (instanceId: string) => void;
   /** Asks the designated VM to probe engines; resolves with null when it did not reply. */
   readonly requestProbe: EngineProbes['requestProbe'];
@@ -26,7 +26,7 @@
 }
 
 export interface StreamRepair {
-  /** Probes an engine after a failed connection. */
+  /** Probes an engine after a failed connection, and reports it to all entries if it is lost. */
   examine(instanceId: string, address: string): void;
   /** Whether a new connection to an address is accepted; concurrent callers share one probe. */
   isThere(address: string): Promise<boolean>;
@@ -39,34 +39,36 @@
 /** Share of the route's target gap after which a silent path is probed. */
 const GAP_SHARE = 0.75;
 /**
- * Share of the target gap after which the designated VM is asked. It is smaller, so that the probe
- * shared by all entries is over before this entry starts its own.
+ * Share of the target gap after which the designated VM is asked to probe a silent path on behalf
+ * of all entries. It is smaller than `GAP_SHARE`, so that this shared probe is over before this
+ * entry starts its own.
  */
 const PROBE_REQUEST_GAP_SHARE = 0.4;
 /** Share of the route's target latency after which a path without a first event is probed. */
 const FIRST_EVENT_SHARE = 0.6;
 /**
- * Share of the limit by which another stream's event must be newer for the path to count as active.
- * All streams of a lost path fall silent within a pass of each other, a fraction of the limit.
+ * Share of the silence limit by which the last event of another stream must be newer for the path
+ * to count as active. All streams of a lost path fall silent within a fraction of the limit.
  */
 const ACTIVE_PATH_SHARE = 0.5;
-/** Pause before the next probe; it doubles with each probe that finds no lost engine. */
+/** Pause before the next check of a stream; it doubles with each check that finds nothing. */
 const RECHECK_MS = 300;
 const MAX_RECHECK_MS = 1200;
 /** A connection within a region takes 2 ms; lost packets, up to 10 %, are resent after 200 ms. */
 const CONNECT_TIMEOUTS_MS: readonly number[] = [120, 250];
 const REPORT_TIMEOUT_MS = 300;
 const REPAIR_TIMEOUT_MS = 400;
-/** Time for which a probe is reused: the streams of a lost engine fall silent together. */
+/** Time for which a probe is reused, as the streams of a lost engine fall silent together. */
 const PROBE_REUSE_MS = 400;
 const MAX_REPAIR_ATTEMPTS = 3;
 /**
- * Expected number of entries that probe a lost engine at the same time. The one that finds it
- * informs all others within milliseconds; if all entries probed, the connections would cost more
- * than the loss.
+ * Expected number of entries that probe a lost engine at the same time. The first entry that finds
+ * it lost informs all others within milliseconds; if all entries probed, the connections would cost
+ * more than the loss.
  */
 const PROBING_ENTRIES = 12;
 
+/** A probe of an engine, which is reused for `PROBE_REUSE_MS`. */
 interface CachedProbe<Result> {
   readonly atMs: number;
   readonly result: Promise<Result>;
@@ -81,7 +83,7 @@
   const probeRequestedAtMs = new Map<string, number>();
   let probeDraw = { untilMs: Number.NEGATIVE_INFINITY, isProbing: true };
 
-  /** Tries a second, new connection, so that one lost packet does not make an engine suspect. */
+  /** Tries a second, new connection, so that one lost packet does not make an engine a suspect. */
   async function probe(address: string): Promise<boolean> {
     for (const timeoutMs of CONNECT_TIMEOUTS_MS) {
       if (await operations.isReachable(address, timeoutMs).catch(() => false)) return true;
@@ -187,8 +189,8 @@
   }
 
   /**
-   * Whether this entry is among those that probe now; drawn again at random when cached probes
-   * expire.
+   * Whether this entry is among those that probe now. This is drawn at random again when cached
+   * probes expire.
    */
   function isProbing(nowMs: number): boolean {
     if (nowMs >= probeDraw.untilMs) {
@@ -287,7 +289,8 @@
     },
     repairLost(isLost) {
       repairLost(isLost);
-      // Reading the revision refreshes the view, so that the next choice excludes the lost engines.
+      // Reading the revision refreshes the routing view, so that the next choice of a chain
+      // excludes the lost engines.
       void view.revision;
     },
   };
