--- a/packages/entry/__tests__/admissionQueue.spec.ts
+++ b/packages/entry/__tests__/admissionQueue.spec.ts
@@ -100,7 +100,7 @@
     await Promise.all(waits);
   });
 
-  it('continues for other requests when looking for a slot throws for one', async () => {
+  it('continues with the other requests when the search for a slot throws for one of them', async () => {
     const { enter, free, pass, queue } = createQueue();
     let looks = 0;
     const failing = enter('failing', {
@@ -120,7 +120,7 @@
     assert.equal(queue.length, 0);
   });
 
-  it('tells at once whom the rate of the slots leaves no hope', async () => {
+  it('refuses a request at once if it would wait in vain at the rate of granted slots', async () => {
     const { enter, free, pass } = createQueue(100);
     free(6);
     await Promise.all(['1', '2', '3', '4', '5', '6'].map((name) => enter(name)));
--- a/packages/entry/__tests__/allocatorOwner.spec.ts
+++ b/packages/entry/__tests__/allocatorOwner.spec.ts
@@ -53,7 +53,7 @@
     const next = rank.findOwner('a') ?? '';
     assert.notEqual(next, owner);
     clock.advance(3000);
-    assert.equal(rank.findOwner('a'), owner, 'it may be back');
+    assert.equal(rank.findOwner('a'), owner, 'the owner may be back');
     lose(owner);
     assert.equal(rank.findOwner('a'), next);
   });
--- a/packages/entry/__tests__/backoffFixtures.ts
+++ b/packages/entry/__tests__/backoffFixtures.ts
@@ -109,7 +109,7 @@
     ...base.log,
     info: (event: string, fields: unknown) => lines.push({ event, fields }),
   };
-  const told: BackoffDirective[] = [];
+  const passedOn: BackoffDirective[] = [];
   const notices = createServerNotices({
     clock,
     log,
@@ -117,7 +117,7 @@
     table,
     findByAddress: view.findByAddress,
     spread: () => {},
-    onBackoff: (directive) => told.push(directive),
+    onBackoff: (directive) => passedOn.push(directive),
   });
   operations.onNotice(notices.take);
   const guarded = guardOperations(operations, { clock, notices, limits: base.limits });
@@ -150,7 +150,7 @@
     searches,
     notices,
     limits: base.limits,
-    told,
+    passedOn,
     guarded,
     answers,
     metrics: base.metrics,
--- a/packages/entry/__tests__/crashGuard.spec.ts
+++ b/packages/entry/__tests__/crashGuard.spec.ts
@@ -88,7 +88,7 @@
     assert.deepEqual([waiting.cuts, begun.cuts, other.cuts], [['quarantined'], [], []]);
   });
 
-  it('is not cut for crashes that the rest of the same exchange explains', async () => {
+  it('is not cut if another content in the same exchange explains the crashes', async () => {
     const unlucky = createRow('unlucky');
     const { mergeFacts } = createSetting({ rows: [unlucky.row] });
     mergeFacts([
@@ -99,7 +99,7 @@
     assert.deepEqual(unlucky.cuts, []);
   });
 
-  it('is suspected of the loss of any engine of its path, if it had just begun there', () => {
+  it('is suspected of the loss of any engine of its path, if it had a response head but no event', () => {
     const { guard } = createSetting();
     const begun = createRow('begun', { hasBegun: true });
     const unanswered = createRow('unanswered', { hasAnswered: false });
--- a/packages/entry/__tests__/crashReporter.spec.ts
+++ b/packages/entry/__tests__/crashReporter.spec.ts
@@ -81,7 +81,7 @@
     assert.deepEqual(seen, ['s1']);
   });
 
-  it('counts for nothing while its server lives, as after a reset of the connection', async () => {
+  it('is not counted while its server lives, as after a reset of the connection', async () => {
     const { reporter, seen, clock } = createSetting();
     await reporter.record(RUN);
     for (let passedMs = 0; passedMs < 20_000; passedMs += 500) {
@@ -102,7 +102,7 @@
     assert.deepEqual(seen, ['s1']);
   });
 
-  it('counts for nothing when its server ends long after', async () => {
+  it('is not counted when its server ends much later', async () => {
     const { reporter, seen, clock, ended } = createSetting();
     await reporter.record(RUN);
     clock.advance(8000);
@@ -135,7 +135,7 @@
     assert.deepEqual(seen, [0, 0, 1]);
   });
 
-  it('costs no ranking of all VMs until the server has ended, and one then', async () => {
+  it('causes no ranking of all VMs until the server has ended, and a single one then', async () => {
     const [stater, other] = [createSetting(), createSetting({ rank: 2 })];
     await stater.reporter.record(RUN);
     other.mergeFacts(stater.listUpdates());
@@ -150,7 +150,7 @@
     assert.deepEqual(counts, [0, 1]);
   });
 
-  it('counts for nothing when the server ends long after', async () => {
+  it('is not counted when the server ends much later', async () => {
     const [stater, other] = [createSetting(), createSetting()];
     await stater.reporter.record(RUN);
     other.mergeFacts(stater.listUpdates());
@@ -171,8 +171,8 @@
   });
 });
 
-describe('runs that were sent to under one name', () => {
-  it('are told apart when one was sent after another had broken off', async () => {
+describe('runs of one content under one instance id', () => {
+  it('are distinguished if one was sent after another had broken off', async () => {
     const { reporter, clock, ended, seen } = createSetting();
     await reporter.record(RUN);
     clock.advance(500);
@@ -182,7 +182,7 @@
     assert.deepEqual(seen, ['s1', 's1#1']);
   });
 
-  it('are one if the second was already in flight', async () => {
+  it('count as one if the second was already in flight', async () => {
     const { reporter, clock, ended, seen } = createSetting();
     await reporter.record(RUN);
     clock.advance(RUN.ranMs);
@@ -203,7 +203,7 @@
     assert.deepEqual(seen, ['s1', 'attempt s1']);
   });
 
-  it('are told apart when the second reached the next incarnation, which was not known yet', async () => {
+  it('are distinguished if the second reached the next incarnation, which was not known yet', async () => {
     const { reporter, clock, seen, restart } = createSetting({ isSuspected: true });
     const content = createContent();
     await reporter.record({ ...RUN, content: digestContent(content) });
@@ -212,14 +212,14 @@
     clock.advance(8);
     restart('s1', 's1/2', 50);
     reporter.tick();
-    assert.deepEqual(seen, ['s1'], 'the next incarnation may live');
+    assert.deepEqual(seen, ['s1'], 'the next incarnation may still be alive');
     clock.advance(500);
     restart('s1/2', 's1/3', 10);
     reporter.tick();
     assert.deepEqual(seen, ['s1', 'attempt s1/2']);
   });
 
-  it('are one if the next incarnation announced itself after both were sent', async () => {
+  it('count for one incarnation if the next one announced itself after both were sent', async () => {
     const { reporter, clock, seen, restart } = createSetting({ isSuspected: true });
     const content = createContent();
     await reporter.record({ ...RUN, content: digestContent(content) });
@@ -258,7 +258,7 @@
     assert.deepEqual(published[1], []);
   });
 
-  it('stays an attempt when its server ends, as does a second one on the same run', () => {
+  it('counts as one attempt when its server ends, also with a second attempt in flight', () => {
     const { reporter, clock, ended, seen } = createSetting({ isSuspected: true });
     reporter.recordSend(createContent(), RUN);
     clock.advance(9000);
--- a/packages/entry/__tests__/limitDispatch.spec.ts
+++ b/packages/entry/__tests__/limitDispatch.spec.ts
@@ -96,7 +96,7 @@
     assert.deepEqual(setting.sends, []);
   });
 
-  it('never refuses a request as not run that has run elsewhere', async () => {
+  it('never refuses a request as not run that may have run on another server', async () => {
     const { calls, permits } = createPermits([], { kind: 'refused', retryInMs: 4321 });
     const setting = createBackoffSetting('safe', permits);
     await nameLimits(setting, ['e1', 'e2']);
--- a/packages/entry/__tests__/limitFixtures.ts
+++ b/packages/entry/__tests__/limitFixtures.ts
@@ -21,10 +21,13 @@
 export const WINDOW_MS = 4000;
 export const INFORMED_AFTER_MS = 500;
 const MS_PER_S = 1000;
-/** The head of an answer arrives after one to ten times this. */
+/** The head of an answer arrives after one to ten times this duration. */
 const HEAD_MS = 20;
 const HEAD_STEPS = 10;
-/** Attempts whose server set a limit before the request was sent; as many as in the product. */
+/**
+ * Attempts of a request that are held back by a limit set just before the send; as in
+ * `plainDispatch`.
+ */
 const MAX_HELD_BACK = 4;
 const STREAM_MS = 600;
 
@@ -141,7 +144,10 @@
     return (Math.max(...rates) * WINDOW_MS) / MS_PER_S;
   }
 
-  /** By how much the requests of informed VMs exceed a bound in the worst window; else negative. */
+  /**
+   * Excess of the requests of informed VMs over a bound in the worst window; negative without
+   * excess.
+   */
   function worstExcess(id: string, bound: (allowed: number) => number): number {
     const informed = (arrivals.get(id) ?? []).filter(({ isInformed }) => isInformed);
     const excesses = informed.map(({ atMs: endMs }) => {
@@ -154,7 +160,7 @@
     return Math.max(Number.NEGATIVE_INFINITY, ...excesses);
   }
 
-  /** Share of its limit that a server received within a time. */
+  /** Requests that a server received within a period, as a share of what its limit allows. */
   function usedShare(id: string, fromMs: number, endMs: number): number {
     const perS = perSOf(id) ?? Number.POSITIVE_INFINITY;
     const count = (arrivals.get(id) ?? []).filter(
--- a/packages/entry/__tests__/limitSchedules.ts
+++ b/packages/entry/__tests__/limitSchedules.ts
@@ -2,7 +2,10 @@
 import { createLimitedSite } from './limitFixtures';
 import type { LimitedSite } from './limitFixtures';
 
-/** Bounds on the requests in a window: the platform's rule, and the stricter target. */
+/**
+ * Bounds on the requests in a window: the rule of the platform, and the stricter target of this
+ * project.
+ */
 export const platformBound = (allowed: number): number => 1.5 * allowed + 5;
 export const targetBound = (allowed: number): number => 1.1 * allowed + 2;
 
--- a/packages/entry/__tests__/lostReporter.spec.ts
+++ b/packages/entry/__tests__/lostReporter.spec.ts
@@ -1,12 +1,12 @@
 /**
  * Guards against crashes that are not counted because only one VM saw them, so that a fourth server
- * runs a content that has crashed three.
+ * runs a content that has crashed three. There were two causes:
  *
- * - A VM whose attempt broke off cannot tell a crash from a lost connection until the server's next
- *   announcement. It kept the run to itself until then, and was stopped 0.3 s before it
- *   (`attempt-failed` at 26.679 s, `started` at 26.996 s, no `content-suspected`).
- * - The head of the answer was lost on a link that was cut one way (`head-lost` after 553 ms). An
- *   attempt without a head was not counted, though the content had crashed two servers before.
+ * - A VM whose attempt broke off cannot tell a crash from a lost connection until the server
+ * announces itself again. If it publishes the run only then, and is stopped before (in one case by
+ * 0.3 s), no VM counts the crash. - The head of the response was lost on a link that was cut in one
+ * direction, which was found after 553 ms. An attempt without a head was not counted, although the
+ * content had crashed two servers before.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -121,13 +121,13 @@
 }
 
 describe('a crash of a server that only one VM saw', () => {
-  it('is held against its content though that VM is stopped before the server is back', async () => {
+  it('counts against its content even if that VM is stopped before the server is back', async () => {
     const clock = createManualClock(100_000);
     const [reporter, other] = [createVm(clock, 'a'), createVm(clock, 'b')];
     await reporter.crashes.record(RUN);
     other.mergeFacts(reporter.listUpdates());
     other.pass(400);
-    assert.deepEqual(other.quarantine.describe(), [], 'the server may be there still');
+    assert.deepEqual(other.quarantine.describe(), [], 'the server may still be alive');
     other.announceNext(RUN.address);
     other.pass(PROPAGATION_MS);
     const [suspected] = other.quarantine.describe() as { content: string; ends: unknown[] }[];
--- a/packages/entry/__tests__/namedLimits.spec.ts
+++ b/packages/entry/__tests__/namedLimits.spec.ts
@@ -157,7 +157,7 @@
     await site.callFor(12_000, 13);
     assertWithinTarget(site);
     const sent = site.arrivalsAt('c1').filter(({ atMs }) => atMs > cutAtMs + 1000);
-    assert.ok(sent.length > 0, 'nobody sent anything');
+    assert.ok(sent.length > 0, 'no VM sent a request');
   });
 });
 
--- a/packages/entry/__tests__/plainDispatch.spec.ts
+++ b/packages/entry/__tests__/plainDispatch.spec.ts
@@ -77,6 +77,6 @@
     const error = await outcome;
     assert.ok(error instanceof SpoolplankError);
     assert.equal(error.httpStatus, 504);
-    assert.equal(calls.length, 1, 'it may have run, so it is not retried');
+    assert.equal(calls.length, 1, 'the request may have run, so it is not retried');
   });
 });
--- a/packages/entry/__tests__/quarantine.spec.ts
+++ b/packages/entry/__tests__/quarantine.spec.ts
@@ -113,13 +113,13 @@
     assert.equal(vm.quarantine.has(createContent('deadly ')), false);
   });
 
-  it('is counted over all VMs, whichever of them saw an end, and by both at once', () => {
+  it('is counted over all VMs, and an end that two VMs saw counts once', () => {
     const clock = createManualClock();
     const [a, b] = [createVm(clock, 'a'), createVm(clock, 'b')];
     const deadly = createContent('deadly');
     a.end(deadly, 's1');
     b.end(deadly, 's2');
-    // Two copies of the request, sent by two VMs, were on one run: one crash.
+    // Two copies of the request, sent by two VMs, ran on one incarnation of a server: one crash.
     a.end(deadly, 's3');
     b.end(deadly, 's3');
     b.mergeFacts(a.state());
@@ -230,7 +230,7 @@
     assert.equal(b.quarantine.has(honest), false);
   });
 
-  it('is cleared at once each time, here and elsewhere', () => {
+  it('is cleared at once, on its VM and on others, each time it is quarantined', () => {
     const clock = createManualClock();
     const [a, b] = [createVm(clock, 'a'), createVm(clock, 'b')];
     const honest = createContent('honest');
--- a/packages/entry/__tests__/requestContent.spec.ts
+++ b/packages/entry/__tests__/requestContent.spec.ts
@@ -30,7 +30,7 @@
     assert.equal(digestOf(), digestOf());
   });
 
-  it('differs when any of these differs', () => {
+  it('differs when the organisation, host, method, URL or body differs', () => {
     const others: readonly Parts[] = [
       { organisation: 'other' },
       { organisation: null },
--- a/packages/entry/__tests__/routingView.spec.ts
+++ b/packages/entry/__tests__/routingView.spec.ts
@@ -30,7 +30,7 @@
     assert.deepEqual(namesOf(view), ['new']);
   });
 
-  it('excludes a silent server while a source replies, and none while no source does', () => {
+  it('excludes a silent server while a control VM replies, but keeps it while none does', () => {
     const { view, announce, clock, sync } = createTables();
     announce(createEngine('e1', 0, 8));
     clock.advance(10_000);
@@ -93,7 +93,7 @@
   }
   const none: ReadonlySet<string> = new Set();
 
-  it('stays in the data centre of the entry, and within one data centre', () => {
+  it('selects engines of one data centre only, by default that of the entry', () => {
     const { chains } = createChoice();
     const chain = chains.choose('engines', MODEL, none);
     assert.deepEqual(
--- a/packages/entry/__tests__/serverBackoff.spec.ts
+++ b/packages/entry/__tests__/serverBackoff.spec.ts
@@ -6,7 +6,7 @@
 
 async function refusalOf(end: Promise<RequestEnd>): Promise<SpoolplankError> {
   const error = await end.then(
-    () => assert.fail('it was served'),
+    () => assert.fail('the request was served'),
     (thrown: unknown) => thrown,
   );
   assert.ok(error instanceof SpoolplankError);
@@ -31,7 +31,7 @@
       assert.equal(held, 0, 'none of them was chosen');
     });
 
-    it(`is not sent there again even without a backoff, but the next request may be (${kind})`, async () => {
+    it(`is not sent to that server again even without a backoff, but the next one may be (${kind})`, async () => {
       const setting = createBackoffSetting(kind);
       SERVERS.forEach((id) => setting.moods.set(id, 'busy'));
       const error = await refusalOf(setting.send());
@@ -63,7 +63,7 @@
     assert.deepEqual(setting.sends, []);
   });
 
-  it('is refused with the end of the first backoff when all servers rejected it', async () => {
+  it('is refused until the earliest end of a backoff when all servers rejected it', async () => {
     const setting = createBackoffSetting('safe');
     SERVERS.forEach((id) => setting.moods.set(id, 'backoff'));
     const error = await refusalOf(setting.send());
--- a/packages/entry/__tests__/serverNotices.spec.ts
+++ b/packages/entry/__tests__/serverNotices.spec.ts
@@ -22,11 +22,11 @@
     assert.deepEqual(closed, ['backoff', 'backoff', null]);
   });
 
-  it('is told to the other process of the VM, and what that one was told is told back to nobody', () => {
-    const { notices, told } = createBackoffSetting();
+  it('of a backoff is passed on to the control process, whose own backoffs are not passed back', () => {
+    const { notices, passedOn } = createBackoffSetting();
     notices.take(createNotice());
     notices.recordBackoff({ instanceId: 'e2', backoffMs: 500 });
-    assert.deepEqual(told, [{ instanceId: 'e1', backoffMs: BACKOFF_MS }]);
+    assert.deepEqual(passedOn, [{ instanceId: 'e1', backoffMs: BACKOFF_MS }]);
     assert.equal(notices.closedReason('e2'), 'backoff');
   });
 
@@ -36,7 +36,7 @@
     assert.equal(notices.closedReason('e1/2'), null);
   });
 
-  it('of departure is not revoked by a later announcement', () => {
+  it('of a departure is not revoked by a later announcement', () => {
     const { notices, view, announce } = createBackoffSetting();
     notices.take(createNotice({ backoffMs: null, isLeaving: true, status: 200 }));
     announce(createEngine('e1', 0, 8), 7);
@@ -45,7 +45,7 @@
     assert.deepEqual(left, ['e2', 'e3']);
   });
 
-  it('of departure applies to one incarnation only', () => {
+  it('of a departure applies to one incarnation only', () => {
     const { notices, view, announce, table } = createBackoffSetting();
     notices.take(createNotice({ instanceId: 'e1/1', backoffMs: null, isLeaving: true }));
     announce(createEngine('e1/2', 0, 8), 2);
@@ -58,7 +58,7 @@
     assert.ok(left.includes('e1/2'), left.join(' '));
   });
 
-  it('of departure is stated to other VMs for five seconds, and logged once', () => {
+  it('of a departure is published to other VMs for five seconds, and logged once', () => {
     const { notices, clock, linesOf } = createBackoffSetting();
     [1, 2].forEach(() => notices.take(createNotice({ backoffMs: null, isLeaving: true })));
     assert.equal(linesOf('server-leaves').length, 1);
--- a/packages/entry/__tests__/slots.spec.ts
+++ b/packages/entry/__tests__/slots.spec.ts
@@ -3,7 +3,7 @@
 import { ADMITTED, CAPACITY, completeAccount, createDataCentre, runLoad } from './slotFixtures';
 import type { Vm } from './slotFixtures';
 
-describe('slots from one account', () => {
+describe('the allocation of slots by one VM', () => {
   it('keeps sixty VMs from overfilling a chain that comes back while all of them wait', async () => {
     const site = createDataCentre(60, ['c1', 'c2']);
     site.setChains([]);
@@ -51,7 +51,7 @@
     assert.deepEqual(refused, ['hopeless']);
   });
 
-  it('loses no request when the VM that keeps the account ends with sixty slots out', async () => {
+  it('loses no request when the allocator fails while sixty slots are held', async () => {
     const site = createDataCentre(30, ['c1']);
     await site.pass(1500);
     await runLoad(site, 60, 1000, 6000);
@@ -63,7 +63,7 @@
     assert.ok((peaks.get('c1') ?? 0) <= CAPACITY, String(peaks.get('c1')));
   });
 
-  it('has the next VM asked while the first one has no configuration after a restart', async () => {
+  it('uses the next VM as allocator while the first one has no configuration after a restart', async () => {
     const site = createDataCentre(3, ['c1']);
     await completeAccount(site);
     const { host } = site.allocator();
@@ -76,10 +76,14 @@
     first.isConfigured = true;
     await site.pass(2500);
     const [later] = await Promise.all([site.find(asking, 'two'), site.pass(1300)]);
-    assert.equal(later.kind === 'granted' && later.chain.grantedBy, host, 'it is asked again');
+    assert.equal(
+      later.kind === 'granted' && later.chain.grantedBy,
+      host,
+      'the first VM is asked again',
+    );
   });
 
-  it('goes by what is told while a new account lacks what others hold', async () => {
+  it('uses the reported load while the account of a new allocator lacks the slots of others', async () => {
     const site = createDataCentre(30, ['c1']);
     await site.pass(1500);
     await runLoad(site, 120, 750, 20_000, 1100);
@@ -94,7 +98,7 @@
     assert.ok(site.inFlight('c1') <= ADMITTED + ended, String(site.inFlight('c1')));
   });
 
-  it('goes on when the answers of the first VM are lost, and overfills nothing', async () => {
+  it('continues on the next VM when the answers of the first are lost, and overfills no chain', async () => {
     const site = createDataCentre(30, ['c1']);
     await site.pass(1500);
     await runLoad(site, 40, 1000, 3000);
@@ -158,7 +162,7 @@
     assert.ok(site.inFlight('c1') > 0);
   });
 
-  it('prefers a stream that has begun to new ones', async () => {
+  it('prefers a stream that has begun to new streams', async () => {
     const site = createDataCentre(4, ['c1']);
     await site.pass(1500);
     const [a, b] = site.vms as [Vm, Vm];
--- a/packages/entry/__tests__/sourceChoice.spec.ts
+++ b/packages/entry/__tests__/sourceChoice.spec.ts
@@ -16,7 +16,7 @@
     assert.equal(choice.current(), 'near');
   });
 
-  it('abandons one that replies without a fresh confirmation, but limits the rate of switches', () => {
+  it('abandons a control VM without a fresh confirmation, but limits the rate of switches', () => {
     const clock = createManualClock();
     const choice = createSourceChoice({ clock, list: () => ['partitioned', 'healthy', 'third'] });
     choice.recordAnswer(800);
@@ -30,7 +30,7 @@
     assert.equal(choice.current(), 'third');
   });
 
-  it('stays for a while with the first one that replies before there is any confirmation', () => {
+  it('stays for a while with the first control VM that replies before any has a confirmation', () => {
     const clock = createManualClock();
     const choice = createSourceChoice({ clock, list: () => ['near', 'far'] });
     for (let passedMs = 0; passedMs < 3000; passedMs += 100) {
@@ -43,7 +43,7 @@
     assert.equal(choice.current(), 'far');
   });
 
-  it('switches to a nearer one as soon as it is known, regardless of earlier failures', () => {
+  it('switches to a nearer control VM as soon as it is known, regardless of earlier failures', () => {
     const clock = createManualClock();
     let known = ['seed 1', 'seed 2', 'seed 3'];
     const choice = createSourceChoice({ clock, list: () => known });
--- a/packages/entry/__tests__/streamRepair.spec.ts
+++ b/packages/entry/__tests__/streamRepair.spec.ts
@@ -142,7 +142,7 @@
     assert.ok(probes > 0 && probes < 30, `${probes} of 100`);
   });
 
-  it('causes no connections to engines while others go on over the same path', async () => {
+  it('causes no connections to engines while other streams of its path have events', async () => {
     const { row, streams, clock, counts, pass } = createSetting();
     clock.advance(120);
     streams.add({ ...row, lastProgressAtMs: clock.nowMs() });
@@ -225,7 +225,7 @@
     assert.equal(setting.probeRequests(), 2);
   });
 
-  it('causes no probe request while others go on over an equal path with separate stage objects', async () => {
+  it('causes no probe request while other streams have events over an equal path', async () => {
     const setting = createSetting();
     const { row, streams, clock } = setting;
     clock.advance(100);
--- a/packages/entry/__tests__/suspension.spec.ts
+++ b/packages/entry/__tests__/suspension.spec.ts
@@ -1,6 +1,7 @@
 /**
- * Guards against stale permissions after the suspension of a VM: a clock that leaves the suspended
- * time out makes a confirmation from before look fresh. Suspensions of 1, 5 and 30 seconds.
+ * Guards against stale permissions after the suspension of a VM: with a clock that does not count
+ * the suspended time, a confirmation that was received before the suspension still looks fresh.
+ * Tested with suspensions of 1, 5 and 30 seconds.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
