--- a/packages/consensus/src/readyStore.ts
+++ b/packages/consensus/src/readyStore.ts
@@ -21,7 +21,9 @@
 
 export interface ReadyStoreOptions {
   readonly storage: ReplicaStorage;
+  /** Runs a function after a delay; returns a function that cancels it. */
   readonly schedule: (run: () => void, delayMs: number) => () => void;
+  /** Whether the replica has been stopped, after which a full disk is not retried. */
   readonly isStopped: () => boolean;
   /** Called once when the disk becomes full and once, with null, when it recovers. */
   readonly onStorageState?: (error: SpoolplankError | null) => void;
--- a/packages/entry/__tests__/addressBook.spec.ts
+++ b/packages/entry/__tests__/addressBook.spec.ts
@@ -69,7 +69,7 @@
     assert.deepEqual([...list('caller-1', 'elsewhere')].sort(), ['a0:80', 'b0:80']);
   });
 
-  it('exclude entries that are leaving, including the one that is asked', () => {
+  it('exclude entries that are leaving, including the entry that is asked', () => {
     const { list, leave } = createBook(3);
     assert.equal(list('caller-1').length, 3);
     leave();
--- a/packages/entry/__tests__/callerAge.spec.ts
+++ b/packages/entry/__tests__/callerAge.spec.ts
@@ -10,7 +10,7 @@
     assert.equal(age.estimateMs('r1 org', 20_000), 0);
   });
 
-  it('is zero if callers do not state how long they wait, or none is known to wait longer', () => {
+  it('is zero if the caller does not state how long it waits, or no caller of its group waits longer', () => {
     const age = createCallerAge();
     age.estimateMs('r1 org', 20_000);
     assert.equal(age.estimateMs('r1 org', null), 0);
--- a/packages/entry/__tests__/dataCentreRank.spec.ts
+++ b/packages/entry/__tests__/dataCentreRank.spec.ts
@@ -27,7 +27,7 @@
 }
 
 describe('the order in which data centres are asked for a slot', () => {
-  it('starts with the own one while it is not much fuller than others', () => {
+  it('starts with the own data centre while it is not much fuller than the others', () => {
     const capacities = [
       createCapacity('a', { inFlight: 60 }),
       createCapacity('b', { inFlight: 40 }),
@@ -35,7 +35,7 @@
     assert.deepEqual(rank(capacities), ['a', 'b']);
   });
 
-  it('starts with another one when the own one is full or has a queue', () => {
+  it('starts with another data centre when the own one is full or has a queue', () => {
     const other = createCapacity('b', { inFlight: 40 });
     assert.deepEqual(rank([createCapacity('a', { inFlight: 94 }), other]), ['b', 'a full']);
     assert.deepEqual(rank([createCapacity('a', { inFlight: 50, waiting: 60 }), other]), [
@@ -44,7 +44,7 @@
     ]);
   });
 
-  it('puts the own one last while it has no chain, and omits others without one', () => {
+  it('puts the own data centre last while it has no chain, and omits others without a chain', () => {
     const capacities = [
       createCapacity('a', { capacity: 0 }),
       createCapacity('b', { inFlight: 10 }),
@@ -53,12 +53,12 @@
     assert.deepEqual(rank(capacities), ['b', 'a full']);
   });
 
-  it('asks the own one first while its capacity is unknown', () => {
+  it('asks the own data centre first while its capacity is unknown', () => {
     assert.deepEqual(rank([]), ['a full']);
     assert.deepEqual(rank([createCapacity('b', { inFlight: 10 })]), ['a full', 'b']);
   });
 
-  it('uses the newest statement, and ignores stale ones', () => {
+  it('uses the newest capacity of a data centre, and ignores stale ones', () => {
     const capacities = [
       createCapacity('b', { inFlight: 90 }, 1000),
       createCapacity('b', { inFlight: 10 }, 900),
--- a/packages/entry/__tests__/engineProbes.spec.ts
+++ b/packages/entry/__tests__/engineProbes.spec.ts
@@ -66,8 +66,8 @@
 
 describe('a path that falls silent on all entries at once', () => {
   it('is probed once for all of them, and each receives the lost engines', async () => {
-    const { requestFromAll: askAll, tries } = createEntries((address) => address !== 'e2:80');
-    const answers = await askAll();
+    const { requestFromAll, tries } = createEntries((address) => address !== 'e2:80');
+    const answers = await requestFromAll();
     assert.equal(answers.length, ENTRIES);
     answers.forEach((lost) => assert.deepEqual(lost, ['e2']));
     // At most three attempts per engine, whatever the number of requests.
@@ -75,42 +75,38 @@
   });
 
   it('is not probed when only one or two VMs report it', async () => {
-    const { requestFrom: askOf, tries } = createEntries(() => false);
-    assert.deepEqual(await Promise.all([askOf('h1'), askOf('h2')]), [[], []]);
+    const { requestFrom, tries } = createEntries(() => false);
+    assert.deepEqual(await Promise.all([requestFrom('h1'), requestFrom('h2')]), [[], []]);
     assert.equal(tries.size, 0);
   });
 
   it('is not reported as lost for one or two lost packets', async () => {
-    const { requestFromAll: askAll } = createEntries((_address, count) => count >= 3);
-    (await askAll()).forEach((lost) => assert.deepEqual(lost, []));
+    const { requestFromAll } = createEntries((_address, count) => count >= 3);
+    (await requestFromAll()).forEach((lost) => assert.deepEqual(lost, []));
   });
 
   it('is not reported as lost by a VM that was frozen, whose attempts still have a timeout', async () => {
-    const {
-      requestFromAll: askAll,
-      clock,
-      timeoutsMs,
-    } = createEntries(() => {
+    const { requestFromAll, clock, timeoutsMs } = createEntries(() => {
       clock.advance(50);
       return false;
     });
-    (await askAll()).forEach((lost) => assert.deepEqual(lost, []));
+    (await requestFromAll()).forEach((lost) => assert.deepEqual(lost, []));
     timeoutsMs.forEach((timeoutMs) => assert.ok(timeoutMs >= 1, `${timeoutMs} ms`));
   });
 
   it('is probed again when it is still silent a moment later', async () => {
-    const { requestFromAll: askAll, tries, clock } = createEntries(() => true);
-    await askAll();
+    const { requestFromAll, tries, clock } = createEntries(() => true);
+    await requestFromAll();
     const before = tries.get('e1:80') ?? 0;
     clock.advance(200);
-    await askAll();
+    await requestFromAll();
     assert.ok((tries.get('e1:80') ?? 0) > before);
   });
 
   it('is left to each entry when the designated VM does not reply', async () => {
-    const { requestFromAll: askAll, stopDesignated: endDesignated } = createEntries(() => true);
-    endDesignated();
-    const [own, ...others] = await askAll();
+    const { requestFromAll, stopDesignated } = createEntries(() => true);
+    stopDesignated();
+    const [own, ...others] = await requestFromAll();
     assert.deepEqual(own, []);
     others.forEach((answer) => assert.equal(answer, null));
   });
--- a/packages/entry/__tests__/namedLimits.spec.ts
+++ b/packages/entry/__tests__/namedLimits.spec.ts
@@ -133,7 +133,7 @@
     assert.ok(Math.min(...gaps) >= 200, `${Math.min(...gaps)} ms apart`);
   });
 
-  it('is kept after its account is gone, and used again within two seconds', async () => {
+  it('is kept after the allocator with its account fails, and used again within four seconds', async () => {
     const site = await start({ vms: 11 });
     await callUnderLimit(site, 3.2, 6000);
     site.allocator().isUp = false;
--- a/packages/entry/__tests__/standIns.spec.ts
+++ b/packages/entry/__tests__/replacementEngines.spec.ts
@@ -9,10 +9,10 @@
 describe('the streams of a lost engine', () => {
   it('are spread over all engines that can replace it', () => {
     const { view, announce } = createTables();
-    const standIns = ['a3', 'a4', 'a5'];
+    const replacements = ['a3', 'a4', 'a5'];
     announce(createEngine('a1', 0, 4));
     announce(createEngine('a2', 4, 8));
-    standIns.forEach((id) => announce(createEngine(id, 4, 8)));
+    replacements.forEach((id) => announce(createEngine(id, 4, 8)));
     const chains = createSoleChoice({ view, random: createSeededRandom(7) });
     const stages = [
       { id: 'a1', address: 'a1:80', firstLayer: 0, endLayer: 4 },
@@ -25,6 +25,6 @@
       const id = path[1]?.id ?? '';
       counts.set(id, (counts.get(id) ?? 0) + 1);
     }
-    standIns.forEach((id) => assert.ok((counts.get(id) ?? 0) >= STREAMS / 6, id));
+    replacements.forEach((id) => assert.ok((counts.get(id) ?? 0) >= STREAMS / 6, id));
   });
 });
--- a/packages/entry/__tests__/slotPermits.spec.ts
+++ b/packages/entry/__tests__/slotPermits.spec.ts
@@ -17,7 +17,7 @@
 }
 
 describe('the permit of a slot', () => {
-  it('is not refunded once its request was sent, however soon that ended', async () => {
+  it('is not refunded once its request was sent, however soon the request ended', async () => {
     const { site, vm } = await startLimited();
     const fromMs = site.clock.nowMs();
     const granted: string[] = [];
@@ -35,7 +35,7 @@
     assert.ok(granted.length <= PER_S * 6 + 3, `${granted.length} in six seconds`);
   });
 
-  it('is refunded when its request was granted a slot elsewhere', async () => {
+  it('is refunded when its ticket is cancelled, as after a grant by another data centre', async () => {
     const site = createLimitedSite({ vms: 3 });
     await site.pass(1500);
     await site.callFor(1400, 20);
@@ -55,7 +55,7 @@
     assert.ok(client);
     await site.pass(3000);
     const first = [await ask('t1'), await ask('t2'), await ask('t3')].map(({ kind }) => kind);
-    assert.deepEqual(first, ['granted', 'granted', 'waiting'], 'two are saved up');
+    assert.deepEqual(first, ['granted', 'granted', 'waiting'], 'two permits have accumulated');
     const again = [await ask('t4', ['t1', 't2']), await ask('t5'), await ask('t6')];
     assert.deepEqual(
       again.map(({ kind }) => kind),
--- a/packages/entry/src/dispatch/plainDispatch.ts
+++ b/packages/entry/src/dispatch/plainDispatch.ts
@@ -50,7 +50,7 @@
 const CONNECT_TIMEOUT_MS = 400;
 /** Multiple of the target latency after which a safe request is retried on another server. */
 const ATTEMPT_TIMEOUT_FACTOR = 2.5;
-/** Number of `not-run` rejections after which a request is refused. */
+/** Number of rejections without a run after which a request is refused. */
 const MAX_REJECTIONS = 3;
 /**
  * Number of held-back attempts after which a request is not sent again. An attempt is held back
@@ -111,7 +111,7 @@
   /**
    * Serves a request.
    *
-   * @throws SpoolplankError to refuse the caller with.
+   * @throws SpoolplankError the refusal for the caller.
    */
   run(admitted: AdmittedRequest): Promise<RequestEnd>;
 }
--- a/packages/entry/src/dispatch/streamAttempt.ts
+++ b/packages/entry/src/dispatch/streamAttempt.ts
@@ -55,7 +55,7 @@
 
 /** State that a request keeps across its attempts. */
 export interface StreamProgress {
-  /** Id of the last event that was forwarded to the caller; a later attempt resumes after it. */
+  /** Id of the last event that the caller has received; the next attempt resumes after it. */
   lastEventId: string | null;
   /** Whether the caller has been sent the head of the response, in any attempt. */
   hasBegun: boolean;
@@ -239,8 +239,8 @@
     if (known.outcome === 'not-run' && row.cutReason === null) {
       return { kind: 'not-run', problem, culprit: head?.address ?? null, backoffMs: null };
     }
-    const isHeadFine = row.cutReason === 'no-repair';
-    return { kind: 'broken', problem, isHeadHealthy: isHeadFine, run: describeRun(row) };
+    const isHeadHealthy = row.cutReason === 'no-repair';
+    return { kind: 'broken', problem, isHeadHealthy, run: describeRun(row) };
   }
 
   /**
--- a/packages/entry/src/dispatch/streamDispatch.ts
+++ b/packages/entry/src/dispatch/streamDispatch.ts
@@ -28,12 +28,13 @@
   /**
    * Serves a stream.
    *
-   * @throws SpoolplankError to refuse the caller with; never after the stream has started.
+   * @throws SpoolplankError the refusal for the caller; never once the caller has received a part
+   *   of the response.
    */
   run(admitted: AdmittedRequest, model: ModelDescription): Promise<RequestEnd>;
 }
 
-/** Number of `not-run` rejections after which a stream is not sent again. */
+/** Number of rejections without a run after which a stream is not sent again. */
 const MAX_REJECTIONS = 4;
 /**
  * Maximum number of held-back attempts that are followed by another one. An attempt is held back,
@@ -48,7 +49,7 @@
  * stream is then sent on without the result.
  */
 const MAX_CRASH_EVIDENCE_WAIT_MS = 50;
-/** Attempts of one stream. If all of them fail, the cause is probably not the engines. */
+/** Maximum number of attempts of one stream. If all fail, the cause is probably not the engines. */
 const MAX_ATTEMPTS = 6;
 /**
  * Interval at which all entries together resume streams. Resuming repeats the prefill, which keeps
