--- a/packages/entry/src/repair/engineHealth.ts
+++ b/packages/entry/src/repair/engineHealth.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks the engines that this entry excludes. A suspected engine is one that some entry has found
  * lost; the suspicion is published as a fact, a record that all VMs replicate by gossip. An avoided
- * engine is excluded for a short time, by this entry only.
+ * engine is one that this entry excludes for a short time without such a fact.
  */
 import { FACT_KEYS, findBackend, hasRestarted } from '@spoolplank/membership';
 import type { FactTable, FactUpdate, SystemFact } from '@spoolplank/membership';
@@ -19,7 +19,7 @@
 }
 
 export interface EngineHealth {
-  /** Excludes an engine on this VM for a while. */
+  /** Excludes an engine on this VM, by default for `DEFAULT_AVOID_MS`. */
   avoid(instanceId: string, durationMs?: number): void;
   isAvoided(instanceId: string): boolean;
   /** Engines that this VM avoids now. */
@@ -66,7 +66,7 @@
     return (avoidedUntilMs.get(instanceId) ?? 0) > clock.nowMs();
   }
 
-  /** Avoids an engine of another data centre without publishing it: the path may be at fault. */
+  /** Avoids an engine of another data centre without a suspicion, as the path may be at fault. */
   function avoidRemote(instanceId: string, evidence: string): void {
     if (isAvoided(instanceId)) return;
     avoid(instanceId, REMOTE_AVOID_MS);
--- a/packages/entry/src/slots/slotClient.ts
+++ b/packages/entry/src/slots/slotClient.ts
@@ -67,6 +67,7 @@
   readonly listHeld: (dataCentre: string) => readonly HeldSlot[];
   /** Engines that this VM avoids for now, as they rejected a request. */
   readonly listAvoided: () => readonly string[];
+  /** Runs a function after a delay. */
   readonly schedule: (run: () => void, delayMs: number) => void;
   /** Engines that this VM must not send to: they asked it for a backoff, or are leaving. */
   readonly listClosed: () => readonly string[];
@@ -82,7 +83,10 @@
 }
 
 export interface SlotClient {
-  /** Waits for a slot in one of the ranked data centres until the request is abandoned. */
+  /**
+   * Waits for a slot in one of the ranked data centres until one is granted, all refuse, or the
+   * request is abandoned.
+   */
   find(request: SlotRequest): Promise<SlotOutcome>;
   /** Tries once to get a slot in a data centre, without waiting in its queue. */
   look(request: SlotRequest, dataCentre: string): Promise<ChosenChain | undefined>;
