--- a/packages/controller/src/group/groupMetrics.ts
+++ b/packages/controller/src/group/groupMetrics.ts
@@ -2,9 +2,11 @@
 import type { Metrics } from '@spoolplank/node';
 import type { GroupSummary } from './groupWatch';
 
-export interface GroupSource {
+/** The replication group of a control VM, as far as the gauges need it; see `GroupMember`. */
+export interface ObservedGroup {
+  /** Null while the replica searches for its group. */
   summary(): GroupSummary | null;
-  /** Milliseconds since a quorum last confirmed a leader; infinite when it never did. */
+  /** Time in milliseconds since the group last had a confirmed leader; infinite if it never had. */
   unconfirmedMs(): number;
 }
 
@@ -12,7 +14,7 @@
 const UNKNOWN = Number.NaN;
 
 /** Registers the gauges, which are evaluated when the metrics are read. */
-export function registerGroupMetrics(metrics: Metrics, { summary, unconfirmedMs }: GroupSource) {
+export function registerGroupMetrics(metrics: Metrics, { summary, unconfirmedMs }: ObservedGroup) {
   metrics.gauge('spoolplank_group_voters', () => summary()?.voters.length ?? UNKNOWN);
   metrics.gauge('spoolplank_group_silent_voters', () => summary()?.silentVoters?.length ?? UNKNOWN);
   metrics.gauge('spoolplank_group_tolerable_losses', () => summary()?.tolerableLosses ?? UNKNOWN);
--- a/packages/controller/src/group/groupWatch.ts
+++ b/packages/controller/src/group/groupWatch.ts
@@ -12,13 +12,21 @@
   readonly leader: ReplicaId | null;
   /** Includes the outgoing voters of a configuration change in progress. */
   readonly voters: readonly ReplicaId[];
+  /** New members that receive the log in order to become voters. */
   readonly learners: readonly ReplicaId[];
+  /** Non-voting members that are kept up to date as replacements for lost voters. */
   readonly standbys: readonly ReplicaId[];
   /** Index of the log entry that contains the configuration. */
   readonly configurationIndex: number;
-  /** Voters without a recent message; null on a follower, which only receives from its leader. */
+  /**
+   * Voters from which this replica has received no recent message. Null on a follower that knows
+   * its leader: it receives messages from the leader only and cannot tell whether other voters run.
+   */
   readonly silentVoters: readonly ReplicaId[] | null;
-  /** Number of further voters that may fail without loss of the majority; negative without one. */
+  /**
+   * Number of further voters whose failure would still leave a majority; negative when there is no
+   * majority already. Null whenever `silentVoters` is null, from which it is derived.
+   */
   readonly tolerableLosses: number | null;
 }
 
@@ -29,16 +37,23 @@
   readonly electionLimitMs: number;
   /** Time without messages after which a voter counts as silent, in milliseconds. */
   readonly silentAfterMs: number;
-  /** Number of voters required to tolerate the promised losses. */
+  /** Number of voters of which a majority remains after the VM losses that must be tolerated. */
   readonly votersWanted: number;
   /** Time with fewer voters after which a leader logs a warning, in milliseconds. */
   readonly fewVotersLimitMs: number;
 }
 
 export interface GroupWatch {
-  /** Logs what has changed in the replica's status since the last call. */
+  /**
+   * Logs what has changed in the replica's status since the last call. `isConfirmed` tells whether
+   * the group has a leader: on the leader, that a quorum confirms it now; on other replicas, that
+   * they know a leader.
+   */
   observe(status: ReplicaStatus, isConfirmed: boolean): void;
-  /** Time since a quorum was last known to confirm a leader; infinite when it never was. */
+  /**
+   * Time in milliseconds since `observe` was last called with a confirmed leader; infinite when it
+   * never was.
+   */
   unconfirmedMs(): number;
 }
 
@@ -50,7 +65,7 @@
     voter !== id && (contactAgesMs[voter] ?? Number.POSITIVE_INFINITY) > silentAfterMs;
   const receivesFromVoters = role !== 'follower' || leaderId === null;
   const silentVoters = receivesFromVoters ? listVoters(configuration).filter(isSilent) : null;
-  const countLosses = (voters: readonly ReplicaId[]) =>
+  const countTolerableLosses = (voters: readonly ReplicaId[]) =>
     voters.filter((voter) => !isSilent(voter)).length - majorityOf(voters);
   return {
     replica: id,
@@ -63,7 +78,7 @@
     configurationIndex,
     silentVoters,
     tolerableLosses: receivesFromVoters
-      ? Math.min(...voterSets(configuration).map(countLosses))
+      ? Math.min(...voterSets(configuration).map(countTolerableLosses))
       : null,
   };
 }
@@ -85,10 +100,14 @@
 export function createGroupWatch(options: GroupWatchOptions): GroupWatch {
   const { clock, log, electionLimitMs, silentAfterMs } = options;
   let confirmedAtMs: number | null = null;
-  let unconfirmedSinceMs = clock.nowMs();
+  /** Like `confirmedAtMs`, but before the first confirmation the time at which the watch began. */
+  let lastConfirmedOrStartMs = clock.nowMs();
+  /** Whether the loss of the quorum has been logged and the quorum has not returned since. */
   let isLost = false;
   let lastLoggedDenial: VoteDenial | null = null;
+  /** Last time at which the group had enough voters or this replica was not the leader. */
   let enoughVotersAtMs = clock.nowMs();
+  /** Whether the lack of voters has been logged and continues. */
   let isBelowTarget = false;
 
   function recordConfirmed(status: ReplicaStatus): void {
@@ -96,18 +115,18 @@
     if (isLost) {
       log.info('quorum-regained', {
         ...toGroupFields(summarizeGroup(status, silentAfterMs)),
-        lostForMs: Math.round(nowMs - unconfirmedSinceMs),
+        lostForMs: Math.round(nowMs - lastConfirmedOrStartMs),
       });
     }
     isLost = false;
     confirmedAtMs = nowMs;
-    unconfirmedSinceMs = nowMs;
+    lastConfirmedOrStartMs = nowMs;
   }
 
   function recordUnconfirmed(status: ReplicaStatus): void {
     // A replica that has not joined the group yet has no quorum to lose.
     if (!listReplicas(status.configuration).includes(status.id)) return;
-    if (isLost || clock.nowMs() - unconfirmedSinceMs <= electionLimitMs) return;
+    if (isLost || clock.nowMs() - lastConfirmedOrStartMs <= electionLimitMs) return;
     isLost = true;
     log.warn('quorum-lost', toGroupFields(summarizeGroup(status, silentAfterMs)));
   }
--- a/packages/membership/src/announcement.ts
+++ b/packages/membership/src/announcement.ts
@@ -1,3 +1,6 @@
+/**
+ * Announcements, by which a backend server makes its services or its model engine known to the VMs.
+ */
 import { Ajv } from 'ajv';
 import type { ValidateFunction } from 'ajv';
 import { SpoolplankError } from '@spoolplank/shared';
@@ -9,7 +12,7 @@
   readonly bytesPerS: number;
 }
 
-/** Model, layers and performance figures of a model engine. */
+/** A model engine: a backend server that computes some of the layers of a model. */
 export interface EngineDescription {
   readonly model: string;
   readonly version: string;
@@ -19,10 +22,15 @@
   readonly firstLayer: number;
   readonly lastLayer: number;
   readonly maxBatch: number;
-  /** Duration of one step with one item, and the additional time per further item. */
+  /** Duration of one step with one item. */
   readonly stepBaseMs: number;
+  /** Additional duration of a step for each further item in it. */
   readonly stepPerItemMs: number;
-  /** Whether the engine rejects orders with an outdated fencing number. */
+  /**
+   * Whether the engine rejects messages of a session whose fencing number is lower than one that it
+   * has received before. Fencing numbers increase with each attempt to run the session, so messages
+   * of an attempt that has been superseded have no effect.
+   */
   readonly isFencingChecked: boolean;
   readonly links: readonly EngineLink[];
 }
@@ -43,9 +51,14 @@
   readonly incarnation: number;
   /** Increases with each announcement within one incarnation. */
   readonly sequence: number;
+  /** `leaving`: the backend server accepts no new work and will exit. */
   readonly state: 'ready' | 'leaving';
-  /** Names of the plain services that the server provides. */
+  /**
+   * Names of the plain services that the server provides. A single server answers a request of a
+   * plain service, whereas a request to a model passes through a chain of engines.
+   */
   readonly services: readonly string[];
+  /** Present if the backend server is a model engine. */
   readonly engine?: EngineDescription;
   readonly load: ReportedLoad;
 }
@@ -134,7 +147,8 @@
 /**
  * Validates an announcement received over the network.
  *
- * @throws SpoolplankError `bad-request` with every finding.
+ * @throws SpoolplankError `bad-request` with a finding for each violation of the schema, or for a
+ * layer range that ends before it begins.
  */
 export function parseAnnouncement(value: unknown): Announcement {
   validate ??= new Ajv({ allErrors: true, strict: false }).compile(ANNOUNCEMENT_SCHEMA);
@@ -145,7 +159,7 @@
       problem: message ?? 'not valid',
     }));
     throw new SpoolplankError('bad-request', {
-      detail: 'The announcement has findings.',
+      detail: 'The announcement is invalid.',
       findings,
     });
   }
@@ -158,7 +172,7 @@
       problem: 'is below firstLayer',
     };
     throw new SpoolplankError('bad-request', {
-      detail: 'The announcement has findings.',
+      detail: 'The announcement is invalid.',
       findings: [finding],
     });
   }
--- a/packages/routing/__tests__/placement.spec.ts
+++ b/packages/routing/__tests__/placement.spec.ts
@@ -6,18 +6,19 @@
 
 const MODEL = createModel();
 
-const MIXED = ['large', 'medium', ...repeat('small', 5), ...repeat('tiny', 7)];
-const SMALL = ['medium', ...repeat('small', 8), ...repeat('tiny', 3)];
+/** Accelerator kinds of the engines of a data centre. */
+const KINDS_WITH_LARGE = ['large', 'medium', ...repeat('small', 5), ...repeat('tiny', 7)];
+const KINDS_WITHOUT_LARGE = ['medium', ...repeat('small', 8), ...repeat('tiny', 3)];
 
-function carryOut(engines: readonly PlacedEngine[], orders: readonly PlacementOrder[]) {
+function applyOrders(engines: readonly PlacedEngine[], orders: readonly PlacementOrder[]) {
   return engines.map((engine) => {
     const order = orders.find(({ id }) => id === engine.id);
     return order ? { ...engine, firstLayer: order.firstLayer, endLayer: order.endLayer } : engine;
   });
 }
 
-/** Layers that no reliable engine holds. */
-function findMissing(engines: readonly PlacedEngine[]): readonly number[] {
+/** Layers without an available copy: the layers of a slow or leaving engine do not count. */
+function findMissingLayers(engines: readonly PlacedEngine[]): readonly number[] {
   return Array.from({ length: MODEL.layers }, (_, layer) => layer).filter(
     (layer) =>
       !engines.some(
@@ -39,70 +40,73 @@
   });
 }
 
-function layOut(kinds: readonly string[]): PlacedEngine[] {
+function createPlacedEngines(kinds: readonly string[]): PlacedEngine[] {
   const engines = createEngines(kinds);
-  return carryOut(engines, planPlacement(engines, MODEL));
+  return applyOrders(engines, planPlacement(engines, MODEL));
 }
 
 describe('placement', () => {
-  [MIXED, SMALL].forEach((kinds) => {
+  [KINDS_WITH_LARGE, KINDS_WITHOUT_LARGE].forEach((kinds) => {
     it(`places every layer on ${kinds.length} heterogeneous engines and leaves memory for requests`, () => {
-      const placed = layOut(kinds);
-      assert.deepEqual(findMissing(placed), []);
+      const placed = createPlacedEngines(kinds);
+      assert.deepEqual(findMissingLayers(placed), []);
       assertFits(placed);
     });
 
     it(`restores every layer after the loss of any of ${kinds.length} engines`, () => {
-      const placed = layOut(kinds);
+      const placed = createPlacedEngines(kinds);
       placed.forEach((lost) => {
-        const left = placed.filter(({ id }) => id !== lost.id);
-        const repaired = carryOut(left, planPlacement(left, MODEL));
-        assert.deepEqual(findMissing(repaired), [], `without ${lost.id}`);
+        const remaining = placed.filter(({ id }) => id !== lost.id);
+        const repaired = applyOrders(remaining, planPlacement(remaining, MODEL));
+        assert.deepEqual(findMissingLayers(repaired), [], `without ${lost.id}`);
         assertFits(repaired);
       });
     });
   });
 
   it('gives no order when no layer is missing and no engine is empty', () => {
-    const placed = layOut(SMALL);
+    const placed = createPlacedEngines(KINDS_WITHOUT_LARGE);
     assert.deepEqual(planPlacement(placed, MODEL), []);
   });
 
-  it('moves only engines near a small hole', () => {
-    const placed = layOut(SMALL);
+  it('gives orders to at most half of the engines after the loss of a tiny one', () => {
+    const placed = createPlacedEngines(KINDS_WITHOUT_LARGE);
     const lost = placed.find(({ acceleratorKind }) => acceleratorKind === 'tiny');
-    const left = placed.filter(({ id }) => id !== lost?.id);
-    assert.ok(planPlacement(left, MODEL).length <= left.length / 2);
+    const remaining = placed.filter(({ id }) => id !== lost?.id);
+    assert.ok(planPlacement(remaining, MODEL).length <= remaining.length / 2);
   });
 
-  it('never orders an engine whose order is in progress', () => {
-    const placed = layOut(SMALL).map((engine, index) => ({ ...engine, isOrderable: index > 2 }));
-    const left = placed.filter((_, index) => index !== 5);
+  it('gives no order to an engine that still carries out an earlier one', () => {
+    const placed = createPlacedEngines(KINDS_WITHOUT_LARGE).map((engine, index) => ({
+      ...engine,
+      isOrderable: index > 2,
+    }));
+    const remaining = placed.filter((_, index) => index !== 5);
     const busy = new Set(placed.slice(0, 3).map(({ id }) => id));
-    assert.ok(planPlacement(left, MODEL).every(({ id }) => !busy.has(id)));
+    assert.ok(planPlacement(remaining, MODEL).every(({ id }) => !busy.has(id)));
   });
 
   it('gives an order only to a new empty engine when no layer is missing', () => {
-    const placed = layOut(SMALL);
-    const left = placed.filter((_, index) => index !== 3);
-    const repaired = carryOut(left, planPlacement(left, MODEL));
-    const [newcomer] = createEngines(['small']);
-    assert.ok(newcomer);
-    const orders = planPlacement([...repaired, { ...newcomer, id: 'new' }], MODEL);
+    const placed = createPlacedEngines(KINDS_WITHOUT_LARGE);
+    const remaining = placed.filter((_, index) => index !== 3);
+    const repaired = applyOrders(remaining, planPlacement(remaining, MODEL));
+    const [added] = createEngines(['small']);
+    assert.ok(added);
+    const orders = planPlacement([...repaired, { ...added, id: 'new' }], MODEL);
     assert.deepEqual(
       orders.map(({ id }) => id),
       ['new'],
     );
   });
 
-  it('keeps the last copy of every layer while a slow engine still serves the missing ones', () => {
-    const sites = [
-      MIXED,
-      SMALL,
+  it('never removes the last copy of a layer while a slow engine still serves its layers', () => {
+    const kindLists = [
+      KINDS_WITH_LARGE,
+      KINDS_WITHOUT_LARGE,
       ...[4, 5, 6, 7].map((count) => ['medium', ...repeat('small', count + 4)]),
     ];
-    sites.forEach((kinds) => {
-      const placed = layOut(kinds);
+    kindLists.forEach((kinds) => {
+      const placed = createPlacedEngines(kinds);
       placed.forEach((slow) => {
         const engines = placed.map((engine) =>
           engine.id === slow.id ? { ...engine, isReliable: false, isOrderable: false } : engine,
@@ -123,16 +127,18 @@
     });
   });
 
-  it('preempts requests only when no engine serves some layer', () => {
-    const placed = layOut(SMALL);
+  it('preempts requests when a lost engine leaves layers unserved, but not while it is leaving and still serves them', () => {
+    const placed = createPlacedEngines(KINDS_WITHOUT_LARGE);
     const lost = placed.find(({ acceleratorKind }) => acceleratorKind === 'medium');
-    const leaving = placed.map((engine) =>
+    const whileLeaving = placed.map((engine) =>
       engine.id === lost?.id ? { ...engine, isReliable: false, isOrderable: false } : engine,
     );
-    const gone = placed.filter(({ id }) => id !== lost?.id);
-    const ordersGone = planPlacement(gone, MODEL);
-    assert.ok(ordersGone.length > 0 && ordersGone.every(({ isPreempting }) => isPreempting));
-    assert.ok(planPlacement(leaving, MODEL).every(({ isPreempting }) => !isPreempting));
+    const withoutLost = placed.filter(({ id }) => id !== lost?.id);
+    const ordersAfterLoss = planPlacement(withoutLost, MODEL);
+    assert.ok(
+      ordersAfterLoss.length > 0 && ordersAfterLoss.every(({ isPreempting }) => isPreempting),
+    );
+    assert.ok(planPlacement(whileLeaving, MODEL).every(({ isPreempting }) => !isPreempting));
   });
 
   it('gives no order when the memory cannot hold the model', () => {
@@ -140,11 +146,14 @@
   });
 
   it('plans each data centre separately', () => {
-    const engines = [...createEngines(SMALL, 'a'), ...createEngines(SMALL, 'b')];
-    const placed = carryOut(engines, planPlacement(engines, MODEL));
+    const engines = [
+      ...createEngines(KINDS_WITHOUT_LARGE, 'a'),
+      ...createEngines(KINDS_WITHOUT_LARGE, 'b'),
+    ];
+    const placed = applyOrders(engines, planPlacement(engines, MODEL));
     ['a', 'b'].forEach((dataCentre) => {
       assert.deepEqual(
-        findMissing(placed.filter((engine) => engine.dataCentre === dataCentre)),
+        findMissingLayers(placed.filter((engine) => engine.dataCentre === dataCentre)),
         [],
       );
     });
