--- a/packages/membership/__tests__/backendIdentity.spec.ts
+++ b/packages/membership/__tests__/backendIdentity.spec.ts
@@ -60,7 +60,7 @@
 }
 
 describe('the identity of a backend server', () => {
-  it('is recovered from its instance id', () => {
+  it('is parsed from its instance id', () => {
     fc.assert(
       fc.property(
         fc.stringMatching(/^[\w.-]{1,20}$/),
@@ -117,7 +117,7 @@
     assert.equal(hasRestarted(table, `${SERVER}/2`), false);
   });
 
-  it('is distinguished from one that only changed its state', () => {
+  it('is distinguished from a backend server that only changed its state', () => {
     const first = createBackendFact({ incarnation: 1, state: 'ready' });
     assert.equal(isRestart(createBackendFact({ incarnation: 1, state: 'draining' }), first), false);
     assert.equal(isRestart(createBackendFact({ incarnation: 2, state: 'ready' }), first), true);
--- a/packages/membership/__tests__/directory.spec.ts
+++ b/packages/membership/__tests__/directory.spec.ts
@@ -41,7 +41,7 @@
 }
 
 describe('directory', () => {
-  it('sends no new work to a backend server whose time to live has expired', () => {
+  it('does not list a backend server as live after its time to live has expired', () => {
     const { clock, registrar } = createFixture();
     registrar.announce(announcement());
     clock.advance(TTL_MS - 1);
@@ -50,7 +50,7 @@
     assert.equal(registrar.findLive('s1'), undefined);
   });
 
-  it('sends no new work to a leaving backend server', () => {
+  it('does not list a leaving backend server as live', () => {
     const { registrar } = createFixture();
     registrar.announce(announcement());
     registrar.announce(announcement({ sequence: 2, state: 'leaving' }));
@@ -137,7 +137,7 @@
 });
 
 describe('announcement', () => {
-  it('is rejected with every finding', () => {
+  it('is rejected with a finding for each violation', () => {
     const wrong = { ...announcement(), name: '@vm1', port: 0, extra: true };
     assert.throws(
       () => parseAnnouncement(wrong),
--- a/packages/membership/src/directory.ts
+++ b/packages/membership/src/directory.ts
@@ -2,14 +2,17 @@
 import { isNewer } from './announcement';
 import type { Announcement, ReportedLoad } from './announcement';
 
-/** A backend server in the directory of this VM. */
+/**
+ * A backend server in the directory of this VM. The body of a row is its announcement without the
+ * load and the sequence, which change with every announcement.
+ */
 export interface DirectoryRow {
   readonly announcement: Announcement;
   /** Time on this VM's clock at which the row expires unless it is renewed. */
   readonly deadlineMs: number;
   /** Revision of this directory at which the row last changed. */
   readonly revision: number;
-  /** Revision of the last change of anything but load and deadline. */
+  /** Revision of this directory at which the body of the row last changed. */
   readonly bodyRevision: number;
 }
 
@@ -24,7 +27,9 @@
 }
 
 export interface DirectoryDelta {
-  /** Identifies one incarnation of a registrar; revisions restart with each incarnation. */
+  /**
+   * Instance of the directory that created the delta; its revisions start anew with each instance.
+   */
   readonly instance: string;
   readonly revision: number;
   readonly updates: readonly DirectoryUpdate[];
@@ -32,18 +37,18 @@
 
 export interface DirectoryOptions {
   readonly clock: Clock;
-  /** Unique to this incarnation of the process. */
+  /** Identifies this directory; unique to this incarnation of the process. */
   readonly instance: string;
   readonly ttlMs: number;
   /** Time to live of a row, where it differs from `ttlMs`. */
   readonly ttlMsOf?: (announcement: Announcement) => number;
-  /** Called with the name of a row that was added or changed in anything but load and sequence. */
+  /** Called with the name of a row that was added or whose body changed. */
   readonly onChange?: (name: string) => void;
 }
 
 export interface Directory {
   readonly revision: number;
-  /** Revision of the last change of anything but loads and deadlines; propagated immediately. */
+  /** Revision of the last change of a body; such a change is propagated immediately. */
   readonly bodyRevision: number;
   /** Stores an announcement that a backend server sent to this VM. */
   announce(announcement: Announcement): void;
--- a/packages/membership/src/documentCache.ts
+++ b/packages/membership/src/documentCache.ts
@@ -1,6 +1,9 @@
 import type { Clock } from '@spoolplank/shared';
 
-/** The newest document known to a process, and the time at which it was last confirmed current. */
+/**
+ * The newest version of the replicated document that a process knows, and the time at which a
+ * source last confirmed that no newer version is in force.
+ */
 export interface DocumentCache<Document extends { readonly version: number }> {
   readonly current: Document | null;
   /** Time since the document was last confirmed current; infinite when it never was. */
--- a/packages/membership/src/factTable.ts
+++ b/packages/membership/src/factTable.ts
@@ -10,11 +10,16 @@
   readonly sequence: number;
 }
 
-/** A record that one process publishes about itself and that all VMs replicate by gossip. */
+/**
+ * A record that a process publishes about itself or about a backend server, and that all VMs
+ * replicate by gossip.
+ */
 export interface Fact<Body> extends FactVersion {
   readonly key: string;
   readonly body: Body;
-  /** Time of publication, on this VM's monotonic clock. */
+  /**
+   * Time of publication on this VM's monotonic clock, derived from the age that a sender states.
+   */
   readonly receivedAtMs: number;
   /** Revision of this table at which the row last changed. */
   readonly revision: number;
@@ -30,6 +35,7 @@
   /** Omitted when 0. */
   readonly incarnation?: number;
   readonly sequence: number;
+  /** Time since publication, in milliseconds. */
   readonly ageMs: number;
   readonly body?: Body;
   /** Table instance of the VM that received the fact from its publisher; omitted by that VM. */
@@ -58,8 +64,11 @@
 
 /** Replicated table whose rows converge on all VMs by exchanging deltas. */
 export interface FactTable<Body> {
+  /** Identifies this table; unique to this incarnation of the process. */
   readonly instance: string;
+  /** Increases with each fact that is stored. */
   readonly revision: number;
+  /** Revision at which the body of any fact last changed. */
   readonly bodyRevision: number;
   /** Stores a local fact; false when this version or a later one is already stored. */
   put(key: string, version: number | FactVersion, body: Body): boolean;
@@ -74,7 +83,10 @@
     sinceRevision: number,
     exceptOrigins?: readonly string[],
   ): FactDelta<Body>;
-  /** Whether that delta contains an urgent change of a body. */
+  /**
+   * Whether the body of a row has changed urgently after `sinceRevision`. Rows whose origin is in
+   * `exceptOrigins` do not count.
+   */
   hasUrgentSince(sinceRevision: number, exceptOrigins?: readonly string[]): boolean;
   /**
    * Merges the rows that another VM held at `asOfMs` on this VM's clock. `from` is the table
--- a/packages/membership/src/feed.ts
+++ b/packages/membership/src/feed.ts
@@ -1,4 +1,7 @@
-/** Messages by which a VM publishes its own facts and receives the changes of a source. */
+/**
+ * Messages by which a VM publishes its own facts and receives the facts and the document of a
+ * source, which is the VM that it sends its requests to.
+ */
 import type { FactDelta, FactUpdate } from './factTable';
 
 export interface FeedRequest<Body> {
@@ -7,7 +10,7 @@
   /** Instance and revision of the source's table that the requester has; see `FactDelta`. */
   readonly instance: string;
   readonly revision: number;
-  /** Version of the requester's document; -1 without one. */
+  /** Version of the requester's document; -1 if it has none. */
   readonly documentVersion: number;
   /** Table instances whose facts the requester receives directly; the reply omits them. */
   readonly exceptOrigins?: readonly string[];
@@ -17,8 +20,9 @@
 
 export interface FeedReply<Body, Document> {
   readonly delta: FactDelta<Body>;
+  /** Present if the document of the source is newer than that of the requester. */
   readonly document?: Document;
-  /** Version of the source's document; -1 without one. */
+  /** Version of the source's document; -1 if it has none. */
   readonly documentVersion: number;
   /** Age of the source's confirmation of that version; null when it was never confirmed. */
   readonly confirmedAgeMs: number | null;
--- a/packages/membership/src/feedClient.ts
+++ b/packages/membership/src/feedClient.ts
@@ -17,7 +17,7 @@
   /** Sends a request to the current source; rejects when the source does not answer. */
   readonly exchange: (request: FeedRequest<Body>) => Promise<FeedReply<Body, Document>>;
   readonly delay: (durationMs: number) => Promise<void>;
-  /** Whether this process forwards facts, which requires the origin of each one to be recorded. */
+  /** Whether this process forwards facts to other VMs; the origin of each fact is recorded then. */
   readonly isPassingOn?: boolean;
   /** Table instances whose facts are received directly; evaluated for each exchange. */
   readonly exceptOrigins?: () => readonly string[];
@@ -29,7 +29,7 @@
   readonly onState?: (isConnected: boolean, problem: string) => void;
   /**
    * Called when the source has restarted without a failed exchange in between. Facts that other
-   * sources omitted because the earlier incarnation delivered them may be missing here.
+   * sources omitted because the earlier incarnation delivered them may be missing in the table.
    */
   readonly onSourceRestart?: () => void;
   /** Called after each exchange that delivered facts. */
@@ -49,7 +49,7 @@
   readonly sourceIncarnation: string;
   /**
    * Requests all facts with the next exchange. Required when an origin is no longer received
-   * directly, as the source has omitted its facts until then.
+   * directly, as the source has omitted the facts of that origin until then.
    */
   restart(): void;
   stop(): void;
@@ -82,7 +82,9 @@
       documents.confirm(reply.documentVersion, sentAtMs + reply.waitedMs - reply.confirmedAgeMs);
     }
     const { instance: sourceInstance, updates } = reply.delta;
-    // After a failed exchange no other source omits facts of this one, so none can be missing.
+    // A restart after a failed exchange needs no handling: during the failure this process no
+    // longer listed the source in `exceptOrigins`, so the other sources sent the facts of the
+    // source.
     const isRestarted =
       isConnected === true && sourceIncarnation !== '' && sourceInstance !== sourceIncarnation;
     sourceIncarnation = sourceInstance;
--- a/packages/membership/src/feedServer.ts
+++ b/packages/membership/src/feedServer.ts
@@ -24,13 +24,14 @@
 
 export interface FeedServer<Body, Document> {
   answer(request: FeedRequest<Body>): Promise<FeedReply<Body, Document>>;
-  /** Answers the held requests that lack an urgent fact or a new document. */
+  /** Answers the held requests whose senders lack an urgent change or a new document. */
   wake(): void;
 }
 
 /**
  * Changes arrive in bursts: while 216 engines load their layers there are about 650 changes within
- * two seconds. A separate reply to each would cost 1 KB in each direction per pair of control VMs.
+ * two seconds. A separate reply to each would cost 1 KB in each direction per pair of control VMs;
+ * this interval limits the replies to 20 per second.
  */
 const DEFAULT_BATCH_INTERVAL_MS = 50;
 
--- a/packages/membership/src/serverNotice.ts
+++ b/packages/membership/src/serverNotice.ts
@@ -14,7 +14,7 @@
   readonly backoffMs: number | null;
   /** Whether the server accepts no new work from any VM. */
   readonly isLeaving: boolean;
-  /** Address of another server that the response blames for a failure; null without one. */
+  /** Address of another server that the response blames for a failure; null if it blames none. */
   readonly culpritAddress: string | null;
 }
 
--- a/packages/membership/src/siblingBackoffs.ts
+++ b/packages/membership/src/siblingBackoffs.ts
@@ -1,6 +1,6 @@
 /**
  * Forwards backoffs that a backend server requested from one process of a VM to the other process
- * of that VM.
+ * of that VM. A VM may run two processes: one with the entry role and one with the control role.
  *
  * A backoff applies to the whole VM: without forwarding, orders and reports of the control role
  * would reach a server during a backoff that it requested from the entry.
@@ -9,7 +9,9 @@
 import type { FactTable } from './factTable';
 import type { MemberFact, SystemFact } from './systemFacts';
 
-/** Time from now during which an incarnation of a backend server must not be sent anything. */
+/**
+ * Instruction to send nothing to an incarnation of a backend server for the given time from now.
+ */
 export interface BackoffDirective {
   readonly instanceId: string;
   readonly backoffMs: number;
--- a/packages/membership/src/silence.ts
+++ b/packages/membership/src/silence.ts
@@ -4,7 +4,7 @@
 const LOST_INTERVALS = 3.5;
 /**
  * Longest time a fact takes from one control VM to an entry that follows another: two exchanges
- * that are held for 800 ms each, and one retry.
+ * that are held for 800 ms each, and one retry after 300 ms.
  */
 const FACT_PROPAGATION_MS = 2000;
 
--- a/packages/membership/src/systemFacts.ts
+++ b/packages/membership/src/systemFacts.ts
@@ -19,7 +19,8 @@
 }
 
 /**
- * Requests in flight, keyed by the first engine of their chain. An entry publishes its own; a
+ * Requests in flight, keyed by the first engine of their chain. A chain is a sequence of engines
+ * that together run all layers of a model. An entry publishes its own; a
  * control VM publishes the sum over the entries that report to it.
  */
 export interface LoadFact {
@@ -75,7 +76,7 @@
 export interface ServiceCapacity {
   readonly capacity: number;
   readonly inFlight: number;
-  /** Requests that wait for a slot in the data centre. */
+  /** Requests that wait for a slot, the right to run one request on a chain, in the data centre. */
   readonly waiting: number;
 }
 
@@ -199,8 +200,8 @@
 export const OPEN_RUN_RETENTION_MS = 8000;
 
 /**
- * A leaving server usually exits within seconds. The retention covers one that takes minutes, which
- * would otherwise count as available again.
+ * A leaving server usually exits within seconds. The retention also covers a server that takes
+ * minutes, as it would count as available again once the fact is removed.
  */
 const LEAVING_RETENTION_MS = 600_000;
 
@@ -234,7 +235,10 @@
   return table.put(FACT_KEYS.leaving(instanceId), LEAVING_VERSION, { kind: 'leaving', instanceId });
 }
 
-/** The highest sequence. No later announcement of the incarnation can supersede its withdrawal. */
+/**
+ * Sequence of the fact that withdraws an incarnation of a backend server. It is the highest
+ * sequence, so that no delayed announcement of the incarnation supersedes the withdrawal.
+ */
 export const FINAL_SEQUENCE = Number.MAX_SAFE_INTEGER;
 
 /** The table row of a backend server. */
