--- a/packages/routing/__tests__/admission.spec.ts
+++ b/packages/routing/__tests__/admission.spec.ts
@@ -46,7 +46,7 @@
     assert.ok(served >= 29 && served <= 31, `${served} of 40`);
   });
 
-  it('evicts from the longest lane for its weight, or an item of lower priority', () => {
+  it('evicts from the organisation with the longest queue for its weight, or by priority within its own', () => {
     const queue = new FairQueue();
     const add = (id: string, organisation: string, weight: number, priority = 5) =>
       queue.enqueue(() => Promise.resolve(id), { id, organisation, weight, priority });
--- a/packages/routing/__tests__/retryDelays.spec.ts
+++ b/packages/routing/__tests__/retryDelays.spec.ts
@@ -22,7 +22,7 @@
     assert.ok(late > early, `${late} and ${early}`);
   });
 
-  it('is spread over about its mean for callers refused at the same time', () => {
+  it('differs by up to about its mean between callers refused at the same time', () => {
     const { clock, delays } = createDelays();
     delays.recordFull();
     clock.advance(2000);
--- a/packages/routing/__tests__/routing.spec.ts
+++ b/packages/routing/__tests__/routing.spec.ts
@@ -143,7 +143,7 @@
 });
 
 describe('selection of a backend server', () => {
-  it('prefers the less loaded of two, and the nearer one', () => {
+  it('prefers the less loaded of two servers, and a local one to a remote one', () => {
     const loads = createBackendLoadTable();
     const random = createSeededRandom(1);
     const request = {
@@ -171,7 +171,7 @@
     }
   });
 
-  it('selects no server twice for one request, and none that does not serve it', () => {
+  it('selects neither a server that was tried before nor one without the service', () => {
     const request = { service: 'bookings', dataCentre: 'dc1', excluded: new Set(['a']), nowMs: 0 };
     const candidates = [server('a'), server('b', { services: ['other'] })];
     assert.equal(
--- a/packages/routing/__tests__/wholeChains.spec.ts
+++ b/packages/routing/__tests__/wholeChains.spec.ts
@@ -53,7 +53,7 @@
       assert.deepEqual(planPlacement(layOut(kinds), MODEL), []);
     });
 
-    it(`moves no engine while a lost one may return, and reassigns its layers then (${name})`, () => {
+    it(`moves no engine while a lost one may return, and reassigns its layers once it has returned (${name})`, () => {
       const engines = layOut(kinds);
       const held = engines.filter(({ firstLayer }) => firstLayer !== null);
       const lost = held.find(({ acceleratorKind }) => ['small', 'tiny'].includes(acceleratorKind));
@@ -61,18 +61,21 @@
       // With a single chain the lost layers have no other copy, so they are restored at once.
       if (countChains(engines) === 1) return;
       const mayMove = () => false;
-      const left = engines.filter(({ id }) => id !== lost.id);
+      const remaining = engines.filter(({ id }) => id !== lost.id);
       const holding = new Set(
-        left.filter(({ firstLayer }) => firstLayer !== null).map(({ id }) => id),
+        remaining.filter(({ firstLayer }) => firstLayer !== null).map(({ id }) => id),
       );
-      planPlacement(left, MODEL, { mayMove, mayImprove: () => false }).forEach(({ id }) =>
+      planPlacement(remaining, MODEL, { mayMove, mayImprove: () => false }).forEach(({ id }) =>
         assert.ok(!holding.has(id), id),
       );
       const back = { ...lost, id: `${lost.id}-back`, firstLayer: null, endLayer: null };
-      const orders = planPlacement([...left, back], MODEL, { mayMove, mayImprove: () => false });
+      const orders = planPlacement([...remaining, back], MODEL, {
+        mayMove,
+        mayImprove: () => false,
+      });
       orders.forEach(({ id }) => assert.ok(!holding.has(id), id));
-      if (countChains(left) < countChains(engines)) {
-        const restored = countChains(carryOut([...left, back], orders));
+      if (countChains(remaining) < countChains(engines)) {
+        const restored = countChains(carryOut([...remaining, back], orders));
         assert.equal(restored, countChains(engines));
       }
     });
@@ -83,9 +86,9 @@
       engines
         .filter(({ acceleratorKind }) => ['small', 'tiny'].includes(acceleratorKind))
         .forEach((lost) => {
-          const left = engines.filter(({ id }) => id !== lost.id);
-          const orders = planPlacement(left, MODEL);
-          const repaired = carryOut(left, orders);
+          const remaining = engines.filter(({ id }) => id !== lost.id);
+          const orders = planPlacement(remaining, MODEL);
+          const repaired = carryOut(remaining, orders);
           const minChains = TIGHT.includes(name) ? before - 1 : before;
           assert.ok(countChains(repaired) >= minChains, `${lost.id}: ${orders.length} orders`);
           assert.ok(orders.length <= 12, `${lost.id}: ${orders.length} orders`);
@@ -97,9 +100,9 @@
       const engines = layOut(kinds);
       const before = countChains(engines);
       engines.forEach((lost) => {
-        const left = engines.filter(({ id }) => id !== lost.id);
-        const ordered = new Set(planPlacement(left, MODEL).map(({ id }) => id));
-        const untouched = left.filter(({ id }) => !ordered.has(id));
+        const remaining = engines.filter(({ id }) => id !== lost.id);
+        const ordered = new Set(planPlacement(remaining, MODEL).map(({ id }) => id));
+        const untouched = remaining.filter(({ id }) => !ordered.has(id));
         if (before > 1) assert.ok(countChains(untouched) >= before - 1, lost.id);
       });
     });
--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -46,7 +46,9 @@
   observeDuration(durationMs: number): void;
 }
 
+/** Weight of the latest duration in the moving average. */
 const DURATION_WEIGHT = 0.05;
+/** Average that is assumed before the first request has ended. */
 const INITIAL_DURATION_MS = 100;
 const MIN_RETRY_AFTER_MS = 200;
 const MAX_RETRY_AFTER_MS = 30_000;
--- a/packages/routing/src/backendLoad.ts
+++ b/packages/routing/src/backendLoad.ts
@@ -15,6 +15,7 @@
   ownAtReport: number;
   /** Moving average of the response time, in milliseconds. */
   latencyMs: number;
+  /** Number of consecutive failures. */
   failures: number;
   ejectedUntilMs: number;
 }
@@ -35,10 +36,11 @@
     name: string,
     result: { readonly isFailure: boolean; readonly durationMs: number; readonly nowMs: number },
   ): void;
-  /** Records the end of a request that the server did not accept; it is no sign of its health. */
+  /** Records that a request was not accepted, which says nothing about the server's health. */
   cancel(name: string): void;
   /** Estimated number of running and queued requests. */
   estimate(name: string): number;
+  /** Number of requests of this VM that run on the backend server. */
   own(name: string): number;
   latencyMs(name: string): number;
   /** Candidates that are not ejected, or all of them if more than `maxEjectedShare` are. */
--- a/packages/routing/src/backoffTable.ts
+++ b/packages/routing/src/backoffTable.ts
@@ -27,6 +27,7 @@
   record(name: string, backoffMs: number): boolean;
   /** Time until a request may be sent to a server, in milliseconds; 0 when it may be now. */
   remainingMs(name: string): number;
+  /** Whether no request may be sent to a server now, during a backoff or shortly after it. */
   isHeldBack(name: string): boolean;
   /** Whether the backoff that a server asked for is still in force. */
   isBackingOff(name: string): boolean;
@@ -50,6 +51,7 @@
   nextSendAtMs: number;
 }
 
+/** The retry-after times assigned to requests for a group of servers during one backoff. */
 interface RetryRow {
   readonly endsAtMs: number;
   readonly assignedCount: number;
--- a/packages/routing/src/backoffWait.ts
+++ b/packages/routing/src/backoffWait.ts
@@ -1,10 +1,10 @@
 /**
  * Decides whether a request waits for the end of a backoff or is refused with a retry-after.
  *
- * It applies when all servers that could run the request back off, the first of them for a known
- * time. For a short backoff the request waits, which keeps its turn and saves a second connection.
- * A request that cannot be served in time that way is refused at once, with the time at which it
- * can be served.
+ * The decision is needed when all servers that could run the request back off and the time at which
+ * the first of them accepts requests again is known. For a short backoff the request waits, which
+ * keeps its turn and saves a second connection. A request that cannot be served in time that way is
+ * refused at once, with the time at which it can be served.
  */
 
 export interface BackoffWait {
@@ -16,9 +16,9 @@
   readonly waitedMs: number;
 }
 
-/** Callers wait two seconds for a first event; the rest remains for running the request. */
+/** Callers wait two seconds for a first event; 800 ms remain for running the request. */
 const MAX_WAIT_MS = 1200;
-/** The other half remains for the run itself, and for another attempt if it fails. */
+/** The other half remains for running the request, and for another attempt if the run fails. */
 const MAX_REMAINING_SHARE = 0.5;
 
 export function isBackoffWorthWaiting({ turnInMs, remainingMs, waitedMs }: BackoffWait): boolean {
--- a/packages/routing/src/chain.ts
+++ b/packages/routing/src/chain.ts
@@ -22,7 +22,9 @@
   readonly layers: number;
   /** Restricts the chain to this version; otherwise any single version is used. */
   readonly version?: string;
+  /** Names of engines that the chain must not contain. */
   readonly excluded: ReadonlySet<string>;
+  /** Data centre of the entry VM; a first engine in another data centre is penalised. */
   readonly dataCentre: string;
   readonly nowMs: number;
 }
@@ -38,6 +40,7 @@
 /** Size of the activations of one token that are sent from stage to stage. */
 const ACTIVATION_BYTES = 16_384;
 const MS_PER_S = 1000;
+/** Cost of a hop between data centres for which no measured link was announced. */
 const REMOTE_PENALTY_MS = 2;
 /** Above this share of a full batch, sessions queue and the cost is multiplied by the penalty. */
 const FULL_SHARE = 0.9;
--- a/packages/routing/src/chainCount.ts
+++ b/packages/routing/src/chainCount.ts
@@ -13,7 +13,7 @@
 
 /** Upper bound of the search. */
 const MAX_CHAINS = 16;
-/** The rest is lost, as whole layers do not fill the memory of an engine exactly. */
+/** Usable share of the memory: whole layers do not fill the memory of an engine exactly. */
 const USABLE_MEMORY_SHARE = 0.92;
 const BYTES_PER_MB = 1_000_000;
 
--- a/packages/routing/src/crashJudgement.ts
+++ b/packages/routing/src/crashJudgement.ts
@@ -2,9 +2,9 @@
  * Determines which request contents crash the backend servers that run them.
  *
  * A caller may repeat a request that crashes every server which starts to run it, and each crash
- * takes dozens of other requests with it. All of these were on a server when it crashed, a few of
- * them in the same state; the cause is the content that most of the crashes have in common. When
- * engines are lost for other reasons, a content coincides with one or two crashes by chance.
+ * takes dozens of other requests with it. All of these requests were on a server when it crashed, a
+ * few of them in the same state; the cause is the content that most of the crashes have in common.
+ * When engines are lost for other reasons, a content coincides with one or two crashes by chance.
  */
 
 /**
@@ -27,8 +27,8 @@
  */
 export const QUARANTINE_ENDS = 3;
 /**
- * How many of these servers must have started to run the content. Several attempts are in progress
- * at every crash by chance, so attempts alone are not sufficient evidence.
+ * Number of the crashed servers that must have started to run the content. Several attempts are in
+ * progress at every crash by chance, so attempts alone are not sufficient evidence.
  */
 const MIN_BEGUN_ENDS = 2;
 
--- a/packages/routing/src/fairQueue.ts
+++ b/packages/routing/src/fairQueue.ts
@@ -20,6 +20,7 @@
   priority: number;
 }
 
+/** The queued items of one organisation. */
 interface Lane {
   weight: number;
   /** Virtual start time of the next item of the lane. */
--- a/packages/routing/src/holeFilling.ts
+++ b/packages/routing/src/holeFilling.ts
@@ -10,6 +10,7 @@
 import type { Range, PlannedEngine } from './plannedEngines';
 import type { ModelDescription } from './routingDocument';
 
+/** Finds the first range of layers without a copy. */
 export function findHole(copies: readonly number[]): Range | undefined {
   const first = copies.indexOf(0);
   if (first < 0) return undefined;
--- a/packages/routing/src/namedLimits.ts
+++ b/packages/routing/src/namedLimits.ts
@@ -2,7 +2,8 @@
  * Rate limits that servers announced to this VM, and the quota of each that this VM may use alone.
  *
  * A VM observes a limit as soon as it receives it with an answer, before other VMs know of it.
- * Permits are granted by one account for all VMs. A VM that cannot reach the account sends no more
+ * Permits, each for sending one
+ * request, are granted by one account for all VMs. A VM that cannot reach the account sends no more
  * than its own quota, so that isolated VMs add little to the rate that the account grants.
  */
 import type { Clock, Random } from '@spoolplank/shared';
@@ -32,6 +33,7 @@
   perSOf(instanceId: string): number | null;
   /** Whether the own quota of this VM allows a request now, without the account. */
   hasOwnPermit(instanceId: string): boolean;
+  /** Takes a permit from the own quota of this VM; false when none is available. */
   takeOwnPermit(instanceId: string): boolean;
   /**
    * Removes a limit because the account, asked `askedAgoMs` ago, knows of none. Returns false if
@@ -50,7 +52,7 @@
   ownUsedAtMs: number;
 }
 
-/** Share of a limit for all VMs together that cannot reach the account. */
+/** Sum of the quotas of all VMs, as a share of the limit; used only without the account. */
 const OWN_SHARE = 0.15;
 /** A quota that has been unused for longer is drawn anew, so that it does not accumulate. */
 const OWN_IDLE_MS = 2000;
--- a/packages/routing/src/permitAccount.ts
+++ b/packages/routing/src/permitAccount.ts
@@ -13,7 +13,7 @@
 import { createTokenBucket } from './tokenBucket';
 import type { TokenBucket } from './tokenBucket';
 
-/** The limit that the answer to a request announces, or its absence. */
+/** What the answer to a request says about the server's limit: `unnamed` if it announces none. */
 export type LimitDirective =
   { readonly kind: 'named'; readonly perS: number } | { readonly kind: 'unnamed' };
 
@@ -25,9 +25,9 @@
 
 /** The role of a VM among those that may grant permits. */
 export interface AccountRole {
-  /** Whether all VMs ask this one, as far as it knows. */
+  /** Whether this VM is, as far as it knows, the one that all VMs ask for permits. */
   readonly isOwner: boolean;
-  /** Number of VMs that asked it recently. */
+  /** Number of VMs that asked this VM for permits recently. */
   readonly askers: number;
   /** Number of VMs that share the servers. */
   readonly vms: number;
@@ -59,6 +59,7 @@
   perSOf(instanceId: string): number | null;
   /** Permits per second that are currently granted for a server; infinite without a limit. */
   ratePerS(instanceId: string): number;
+  /** Whether `take` would succeed now. */
   hasPermit(instanceId: string): boolean;
   /** Takes a permit to send one request; false when none is available. */
   take(instanceId: string): boolean;
@@ -86,7 +87,10 @@
 const STAND_IN_SHARE = 0.3;
 /** Rate of probe requests to a server that accepts none, to detect when that changes. */
 export const MIN_RATE_PER_S = 0.25;
-/** Number of answers without a limit that end it, with the minimum time since it was announced. */
+/**
+ * A limit ends when one of these conditions holds: a number of answers without the limit since the
+ * last one that announced it, and a minimum time since then.
+ */
 const END_CONDITIONS = [
   { unnamed: 3, afterMs: 1000 },
   { unnamed: 2, afterMs: 4000 },
@@ -157,7 +161,8 @@
     recordUnnamed(instanceId, sentAgoMs) {
       const row = rows.get(instanceId);
       const nowMs = clock.steadyMs();
-      // Answers may arrive out of order: one to an earlier request is not evidence of the present.
+      // Answers may arrive out of order: an answer to a request that was sent before the limit was
+      // last announced does not show that the limit has ended.
       if (!row || hasEnded(row) || nowMs - sentAgoMs <= row.namedAtMs) return false;
       row.unnamed += 1;
       const sinceMs = nowMs - row.namedAtMs;
--- a/packages/routing/src/placement.ts
+++ b/packages/routing/src/placement.ts
@@ -29,8 +29,9 @@
   readonly slots: number;
   /** First layer that is held or being loaded; null when the engine holds none. */
   readonly firstLayer: number | null;
+  /** Exclusive. */
   readonly endLayer: number | null;
-  /** Whether it can receive an order: it announces itself and has no order in progress. */
+  /** Whether the engine can receive an order: it announces itself and has no order in progress. */
   readonly isOrderable: boolean;
   /**
    * Whether its layers count as available: it announces itself, is not leaving, is not slow, and is
@@ -41,6 +42,9 @@
   readonly isServing: boolean;
 }
 
+/**
+ * An order to an engine to hold exactly the layers from `firstLayer` up to, excluding, `endLayer`.
+ */
 export interface PlacementOrder {
   readonly id: string;
   readonly firstLayer: number;
@@ -53,7 +57,7 @@
   readonly isPreempting: boolean;
 }
 
-/** Excess layers that are tolerated: one costs a few requests, an order to drop it costs more. */
+/** Excess layers that are tolerated: a layer costs a few requests, an order to drop it more. */
 const TRIM_SLACK = 1;
 
 /**
--- a/packages/routing/src/queueOrder.ts
+++ b/packages/routing/src/queueOrder.ts
@@ -5,8 +5,9 @@
  * than are served. In first-come, first-served order every request then waits longer than the
  * target for as long as the queue lasts, and none is in time. This order therefore prefers requests
  * that can still meet the target over those that cannot. A retry takes precedence over a first
- * attempt that is late already, and over all but begun streams shortly before it leaves the queue,
- * as its caller will probably not retry again. A late request loses nothing by waiting longer.
+ * attempt that is late already, as the caller of a retry will probably not retry again. Shortly
+ * before a retry leaves the queue, only streams that have begun take precedence over it. A late
+ * request loses nothing by waiting longer.
  */
 
 /** A queued request. Times are on the VM's monotonic clock. */
--- a/packages/routing/src/slotLedger.ts
+++ b/packages/routing/src/slotLedger.ts
@@ -1,5 +1,6 @@
 /**
  * Records which VM holds which slots on the chains of a data centre, on the VM that allocates them.
+ * A slot is the right to run one request on a chain.
  *
  * Many VMs share few chains. Each VM starts one or two streams per second with information about
  * the others that is up to two seconds old, and half of the streams of a chain are replaced in that
@@ -51,7 +52,7 @@
   readonly holders: number;
 }
 
-/** Tolerates the loss of two of the reports, sent every second, and the delay of the next. */
+/** Reports are sent every second: one may be lost, and the next be delayed by up to 600 ms. */
 const DEFAULT_LEASE_MS = 2600;
 /** Holders report every second; if a granted slot is not in the next report, the grant was lost. */
 const DEFAULT_UNCLAIMED_MS = 1300;
--- a/packages/routing/src/stagePath.ts
+++ b/packages/routing/src/stagePath.ts
@@ -78,7 +78,7 @@
 /**
  * Finds the cheapest path that runs every layer once, in order; undefined when layers are missing.
  * Each engine on the path ends at a later layer than the one before it or, with the same end,
- * starts after the layer at which that one was entered, so no engine appears twice.
+ * starts after the layer at which the previous engine was entered, so no engine appears twice.
  *
  * Source: shortest path by dynamic programming over engines in the order of their last layer.
  */
--- a/packages/routing/src/tokenBucket.ts
+++ b/packages/routing/src/tokenBucket.ts
@@ -29,7 +29,7 @@
 
 const MS_PER_S = 1000;
 const DEFAULT_MIN_BURST = 2;
-/** Burst at high rates, as a period of the rate: tokens are requested at intervals. */
+/** Burst at high rates, in seconds: holds the tokens earned between two uses of the bucket. */
 const BURST_S = 0.05;
 
 export function createTokenBucket(options: TokenBucketOptions): TokenBucket {
--- a/packages/routing/src/unseenLoad.ts
+++ b/packages/routing/src/unseenLoad.ts
@@ -5,7 +5,7 @@
  * VM. Each VM sees an empty chain and dispatches its whole queue: nine VMs once put 205 streams on
  * a chain with a capacity of 134 within two seconds, and each stream was delayed by seconds. The
  * reports do not show this load yet, but the VMs get similar shares of the callers, so the load
- * that this VM has added is an estimate for every other one.
+ * that this VM has added is an estimate of the load that each other VM has added.
  */
 import type { Clock } from '@spoolplank/shared';
 
--- a/packages/routing/src/wholeChains.ts
+++ b/packages/routing/src/wholeChains.ts
@@ -13,13 +13,16 @@
 import type { StageEngine } from './stagePath';
 
 export interface WholeChains {
-  /** Number of chains that share no engine. */
+  /** Number of whole chains; no engine belongs to two of them. */
   readonly count: number;
-  /** Engines that belong to none of them. */
+  /** Engines that belong to no whole chain. */
   readonly rest: readonly PlannedEngine[];
 }
 
-/** Far above the real cost of a layer, so that exactly adjacent ranges are chained first. */
+/**
+ * Cost of a layer that a chain leaves unused on one of its engines, in milliseconds. It is far
+ * above the real cost of a layer, so that exactly adjacent ranges are chained first.
+ */
 const UNUSED_LAYER_COST_MS = 10;
 
 function toStageEngine(engine: PlannedEngine, model: ModelDescription): StageEngine | null {
