--- a/packages/controller/__tests__/groupWatch.spec.ts
+++ b/packages/controller/__tests__/groupWatch.spec.ts
@@ -102,7 +102,7 @@
     assert.equal(tolerableLosses, 0);
   });
 
-  it('has no count on a follower, which only receives messages from its leader', () => {
+  it('has neither silent voters nor a count on a follower that knows its leader', () => {
     const status = createStatus({ leaderId: 'vm2#b' });
     const { silentVoters, tolerableLosses } = summarizeGroup(status, SILENT_AFTER_MS);
     assert.equal(silentVoters, null);
--- a/packages/controller/src/announcementCheck.ts
+++ b/packages/controller/src/announcementCheck.ts
@@ -15,7 +15,7 @@
 
 export interface AnnouncementCheckOptions {
   readonly stated: BackendFact;
-  /** The stored state of the same incarnation; undefined without one. */
+  /** The stored state of the same incarnation; undefined when none is stored. */
   readonly known: BackendFact | undefined;
   /** Null before the first document; every announcement is accepted then. */
   readonly document: RoutingDocument | null;
--- a/packages/controller/src/backendDirectory.ts
+++ b/packages/controller/src/backendDirectory.ts
@@ -29,7 +29,7 @@
 
 export interface BackendDirectory {
   /**
-   * Stores an announcement. A delayed one, or one of an earlier incarnation, has no effect.
+   * Stores an announcement. It has no effect if it is delayed or of an earlier incarnation.
    *
    * @throws SpoolplankError `bad-request` when the announcement is rejected; it has no effect then.
    */
--- a/packages/controller/src/controlNode.ts
+++ b/packages/controller/src/controlNode.ts
@@ -58,7 +58,7 @@
   readonly isFirstStart: boolean;
   /** Losses that the group must tolerate; one at a time by default. */
   readonly promise?: GroupPromise;
-  /** Null on a VM without a disk, which has no replica and only relays. */
+  /** Null on a VM without a disk, which has no replica and only forwards facts and calls. */
   readonly dataFolder: string | null;
   readonly engineOrders: EngineOrders;
   /** Decodes a stored document, which was validated before it was stored. */
@@ -78,7 +78,7 @@
    */
   replaceDocument(document: StoredDocument): Promise<ReplaceResult>;
   /**
-   * The document in force, confirmed by a quorum; null without one.
+   * The document in force, confirmed by a quorum; null before the first document.
    *
    * @throws SpoolplankError `not-leader` when no quorum confirms it.
    */
--- a/packages/controller/src/controlVms.ts
+++ b/packages/controller/src/controlVms.ts
@@ -1,4 +1,4 @@
-/** Discovery of the other control VMs. */
+/** Discovers the other control VMs: VMs with a process that has the role `control`. */
 import type { FactTable, MemberFact, SystemFact } from '@spoolplank/membership';
 import type { Clock } from '@spoolplank/shared';
 
@@ -23,7 +23,10 @@
   isDesignated(): boolean;
 }
 
-/** Control VMs announce themselves every 600 ms and forward received facts every 800 ms. */
+/**
+ * Time after which a control VM without a new member fact counts as lost. Control VMs publish the
+ * fact every 600 ms and forward received facts every 800 ms, so several updates have been missed.
+ */
 const MEMBER_LOST_MS = 5000;
 
 export function createControlVms(options: ControlVmsOptions): ControlVms {
@@ -50,7 +53,7 @@
         : listLiveMembers().find((member) => member.host === other)?.dataCentre,
     isDesignated() {
       const here = listLiveMembers().filter((member) => member.dataCentre === dataCentre);
-      // The host that sorts first, so VMs that know the same members designate the same one.
+      // The host that sorts first is designated, so VMs that know the same members agree.
       return [host, ...here.map((member) => member.host)].sort()[0] === host;
     },
   };
--- a/packages/controller/src/documentCalls.ts
+++ b/packages/controller/src/documentCalls.ts
@@ -1,4 +1,7 @@
-/** Replaces and reads the document, locally on the leader and by forwarding otherwise. */
+/**
+ * Replaces and reads the replicated document: on the leader of the group directly, on other control
+ * VMs by a call to the leader.
+ */
 import type {
   DocumentState,
   ReplaceDocument,
--- a/packages/controller/src/engineLosses.ts
+++ b/packages/controller/src/engineLosses.ts
@@ -1,9 +1,9 @@
 /**
  * Records when each data centre last lost an engine.
  *
- * It handles engines that crash and restart two to five seconds later without any layers. A new
- * layout of their chain moves the layer boundaries of all its engines and makes the chain
- * unavailable for four to six seconds; the restarted engine only has to load its own layers.
+ * The record is needed for engines that crash and restart two to five seconds later without any
+ * layers. A new layout of their chain moves the layer boundaries of all its engines and makes the
+ * chain unavailable for four to six seconds; the restarted engine only has to load its own layers.
  */
 import type { PlacedEngine } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
--- a/packages/controller/src/engineNotices.ts
+++ b/packages/controller/src/engineNotices.ts
@@ -14,7 +14,7 @@
 }
 
 export interface EngineNotices {
-  /** Records the backoff or the leaving state of a notice. */
+  /** Records the backoff that a notice requests, and that its engine is leaving. */
   handle(notice: ServerNotice): void;
   /** Records a backoff that an engine requested from the other process of this VM. */
   recordBackoff(directive: BackoffDirective): void;
--- a/packages/controller/src/group/groupLoop.ts
+++ b/packages/controller/src/group/groupLoop.ts
@@ -24,7 +24,7 @@
   readonly isFirstStart: boolean;
   /** Null while the replica is not running. */
   readonly runner: () => GroupRunner | null;
-  /** Sends the same request to all other VMs; it succeeds only on the leader. */
+  /** Sends the same request to all other control VMs, of which only the leader accepts it. */
   readonly askOthers: (method: string, request: JoinRequest, onAccepted: () => void) => void;
   /** Checks whether the group was recovered without this replica. */
   readonly checkGeneration: () => Promise<void>;
--- a/packages/controller/src/group/groupMember.ts
+++ b/packages/controller/src/group/groupMember.ts
@@ -87,7 +87,7 @@
   status(): ReplicaStatus | null;
   /** The group as seen by this replica; null while it searches for its group. */
   summary(): GroupSummary | null;
-  /** Time since a quorum was last known to confirm a leader; infinite when it never was. */
+  /** Time in milliseconds since the group last had a confirmed leader; infinite if it never had. */
   unconfirmedMs(): number;
   readonly replicaId: string;
 }
@@ -96,7 +96,7 @@
 const REQUEST_TIMEOUT_MS = 500;
 /** Share of the interval between two tolerated VM losses that a process may use for hand-over. */
 const HAND_OVER_SHARE = 0.5;
-/** Two random election timeouts, and one more for a split vote. */
+/** Longest ordinary election: two random election timeouts, and one more for a split vote. */
 const ELECTION_LIMIT_TIMEOUTS = 3;
 /** An active replica responds or requests votes within twice the election timeout. */
 const SILENT_AFTER_TIMEOUTS = 2;
--- a/packages/controller/src/group/groupRecovery.ts
+++ b/packages/controller/src/group/groupRecovery.ts
@@ -26,7 +26,7 @@
   readonly vmId: string;
   readonly listOthers: () => readonly string[];
   readonly findTarget: (vmId: string) => PeerTarget | undefined;
-  /** The copy on this VM; null without one. */
+  /** The copy on this VM; null if it has none. */
   readonly describeCopy: () => DescribedCopy | null;
   /** Restarts this VM's replica as the only voter of the next generation. */
   readonly restartAsOnlyVoter: () => Promise<void>;
--- a/packages/controller/src/group/raftTransport.ts
+++ b/packages/controller/src/group/raftTransport.ts
@@ -39,7 +39,7 @@
     peers
       .call(target, 'consensus.step', { messages })
       .then(() => onDelivered(vmId))
-      // The protocol itself resends lost messages; silent replicas show in its status.
+      // Raft resends lost messages, and its status shows which replicas are silent.
       .catch(() => {})
       .finally(() => {
         queue.isSending = false;
--- a/packages/controller/src/guardedOrders.ts
+++ b/packages/controller/src/guardedOrders.ts
@@ -9,7 +9,7 @@
 ): EngineOrders {
   return {
     onNotice: (listener) => orders.onNotice(listener),
-    // Nothing has started, and the caller pauses as it does after a refusal by the engine.
+    // Reported as refused, as the engine has started nothing; the caller pauses as after a refusal.
     place: (engine, order) =>
       isBackingOff(engine.instanceId) ? Promise.resolve('refused') : orders.place(engine, order),
     async inspect(engine) {
--- a/packages/controller/src/pendingOrders.ts
+++ b/packages/controller/src/pendingOrders.ts
@@ -12,7 +12,7 @@
 
 export interface PendingOrders {
   readonly size: number;
-  /** The range that an engine was ordered to load; undefined without a pending order. */
+  /** The range that an engine was ordered to load; undefined when no order is pending. */
   find(instanceId: string): LayerRange | undefined;
   /** Records an order that is overdue at `untilMs` on this VM's clock. */
   add(instanceId: string, range: LayerRange, untilMs: number): void;
--- a/packages/controller/src/placementLoop.ts
+++ b/packages/controller/src/placementLoop.ts
@@ -81,7 +81,7 @@
 const LOAD_POLL_MS = 250;
 /** Engines acknowledge an order within milliseconds, before executing it; a packet may be lost. */
 const ORDER_TIMEOUT_MS = 400;
-/** The first orders go to all engines at once, from a small VM over one new connection each. */
+/** Longer: the first orders go to all engines at once, from a small VM, over new connections. */
 const FIRST_ORDER_TIMEOUT_MS = 1500;
 /**
  * Pause after a refused order. An engine that refuses is busy with an earlier order until the
@@ -92,7 +92,7 @@
 const REPLACEMENT_SLOWDOWN = 2.5;
 /**
  * Fractions added to the sequence of the last announcement for states that the control VM publishes
- * before the engine announces them, so that the next announcement supersedes these.
+ * before the engine announces them, so that the next announcement supersedes the states.
  */
 const ORDERED_SEQUENCE_STEP = 0.25;
 const LOADED_SEQUENCE_STEP = 0.5;
@@ -161,7 +161,7 @@
       orderCounts.recordReport(engine.instanceId, acceptedOrders);
       return held;
     } catch (error) {
-      // The engine may be busy or gone; its announcements, or their absence, will tell.
+      // The engine may be busy or gone; whether it keeps announcing itself shows which.
       log.info('engine-unread', { engine: engine.instanceId, problem: String(error) });
       return null;
     }
@@ -193,7 +193,7 @@
     const isUncertain = (uncertainUntilMs.get(instanceId) ?? 0) > nowMs;
     const isReady = state === 'ready' && !isLeaving(table, instanceId);
     const isRetained = isReady && slowdown < REPLACEMENT_SLOWDOWN && !isUncertain;
-    // A backoff of seconds does not justify moving layers; the engine is only sent no orders.
+    // A backoff of seconds does not justify moving layers, so the engine merely gets no orders.
     const mayBeOrdered = !wasRecentlyRefused(instanceId) && !options.isBackingOff(instanceId);
     const isReliable = isServing && isRetained;
     return {
--- a/packages/controller/src/stragglerWatch.ts
+++ b/packages/controller/src/stragglerWatch.ts
@@ -1,9 +1,10 @@
 /**
- * Polls the engines of this data centre for their slowdown and publishes the stragglers.
+ * Polls the engines of this data centre for their slowdown and publishes the stragglers, engines
+ * that run slower than others of their kind.
  *
- * It handles engines that become six or twelve times slower for some seconds. They still announce
- * themselves and accept connections, but every stream whose chain includes one of them pauses for
- * longer than its target allows.
+ * The watch detects engines that become six or twelve times slower for some seconds. They still
+ * announce themselves and accept connections, but every stream whose chain includes one of them
+ * pauses for longer than its target allows.
  */
 import { FACT_KEYS, readSlowdown } from '@spoolplank/membership';
 import type { BackendFact, FactTable, SystemFact } from '@spoolplank/membership';
