--- a/packages/bench/__tests__/controlFaults.spec.ts
+++ b/packages/bench/__tests__/controlFaults.spec.ts
@@ -2,8 +2,8 @@
 import { rmSync } from 'node:fs';
 import { afterEach, describe, it } from 'node:test';
 import { callJson } from '@spoolplank/node';
-import { startCutLink } from '@spoolplank/fakes';
-import type { CutLink } from '@spoolplank/fakes';
+import { startTcpProxy } from '@spoolplank/fakes';
+import type { TcpProxy } from '@spoolplank/fakes';
 import type { VmSettings } from '@spoolplank/settings';
 import type { JsonValue } from '@spoolplank/shared';
 import { dumpControl, findLeader, waitUntil } from '..';
@@ -143,20 +143,20 @@
   });
 
   it('stay in force while a control VM is cut off and when it comes back', async () => {
-    const links: CutLink[] = [];
+    const links: TcpProxy[] = [];
     // Every path to and from vm3 leads over a link that can be cut.
     deployment = await startReady(3, 1, {
       adjustAll: async (all) => {
         const vm3 = all.find(({ vm }) => vm.vmId === 'vm3')?.vm;
         assert.ok(vm3);
-        const link = await startCutLink({ target: { host: vm3.host, port: vm3.peerPort } });
+        const link = await startTcpProxy({ target: { host: vm3.host, port: vm3.peerPort } });
         links.push(link);
         const toVm3 = (peers: VmSettings['peers']) =>
           peers.map((peer) => (peer.vmId === 'vm3' ? { ...peer, peerPort: link.port } : peer));
         const fromVm3 = async (peers: VmSettings['peers']) =>
           Promise.all(
             peers.map(async (peer) => {
-              const out = await startCutLink({ target: { host: peer.host, port: peer.peerPort } });
+              const out = await startTcpProxy({ target: { host: peer.host, port: peer.peerPort } });
               links.push(out);
               return { ...peer, peerPort: out.port };
             }),
--- a/packages/fakes/__tests__/fakes.spec.ts
+++ b/packages/fakes/__tests__/fakes.spec.ts
@@ -10,7 +10,7 @@
   return createKvStore({ firstLayer, lastLayer, memoryTokens, onCacheEvent: () => {} });
 }
 
-/** The answer that stages with these layers give together. */
+/** Runs a prompt through a chain of stages and returns the generated text. */
 function answerWith(stages: readonly KvStore[], prompt: string, tokens: number): string {
   const step = (tokenId: number) =>
     sample(stages.reduce((activation, stage) => stage.run('h', activation), embed(tokenId)));
@@ -23,16 +23,16 @@
   return answer.join('');
 }
 
-describe('the stand-in model', () => {
+describe('the fake model', () => {
   const prompt = 'two skips at the yard';
 
-  it('gives the same text however its layers are spread over engines', () => {
+  it('generates the same text for every split of its layers over engines', () => {
     const expected = expectedAnswer(prompt, LAYERS, 20);
     assert.equal(answerWith([createStore(0, 5)], prompt, 20), expected);
     assert.equal(answerWith([createStore(0, 1), createStore(2, 5)], prompt, 20), expected);
   });
 
-  it('gives another text when a layer is left out, run twice, or out of order', () => {
+  it('generates a different text when a layer is skipped, run twice, or run out of order', () => {
     const expected = expectedAnswer(prompt, LAYERS, 20);
     const wrong = [
       [createStore(0, 1), createStore(3, 5)],
@@ -44,25 +44,29 @@
 });
 
 describe('key-value state', () => {
-  it('can be moved to an engine with the same layers, whole only', () => {
+  it('can be imported by an engine with the same layers, but only complete', () => {
     const from = createStore(0, 2);
     [1, 2, 3].forEach((token) => from.run('h', embed(token)));
     const state = from.exportState('h');
     assert.ok(state);
     const to = createStore(0, 2);
-    assert.equal(to.importState('h', { ...state, inputs: state.inputs.slice(1) }), false, 'torn');
-    assert.equal(to.importState('h', { ...state, positions: 2 }), false, 'of another position');
-    assert.equal(createStore(1, 3).importState('h', state), false, 'of other layers');
+    assert.equal(
+      to.importState('h', { ...state, inputs: state.inputs.slice(1) }),
+      false,
+      'truncated',
+    );
+    assert.equal(to.importState('h', { ...state, positions: 2 }), false, 'wrong position count');
+    assert.equal(createStore(1, 3).importState('h', state), false, 'other layers');
     assert.equal(to.importState('h', state), true);
     assert.equal(to.run('h', embed(4)), from.run('h', embed(4)));
   });
 
-  it('is kept as a prefix until memory is needed', () => {
+  it('stays in the prefix cache after release until memory is needed', () => {
     const store = createStore(0, 2, 4);
     [1, 2].forEach((token) => store.run('old', embed(token)));
     store.release('old');
-    assert.equal(store.keptPrefix([1, 2, 3].map(embed)), 2);
+    assert.equal(store.cachedPrefixLength([1, 2, 3].map(embed)), 2);
     [5, 6, 7].forEach((token) => store.run('other', embed(token)));
-    assert.equal(store.keptPrefix([1, 2].map(embed)), 0);
+    assert.equal(store.cachedPrefixLength([1, 2].map(embed)), 0);
   });
 });
--- a/packages/fakes/index.ts
+++ b/packages/fakes/index.ts
@@ -1,5 +1,5 @@
 export * from './src/announcer';
-export * from './src/cutLink';
+export * from './src/tcpProxy';
 export * from './src/engine';
 export * from './src/engineOptions';
 export * from './src/plainService';
--- a/packages/fakes/src/announcer.ts
+++ b/packages/fakes/src/announcer.ts
@@ -1,15 +1,15 @@
-/** How a backend server announces itself, as its own code would. */
+/** Announces a fake backend server to the entry VMs, as the client code of a real one does. */
 import { callJson, parseAddress } from '@spoolplank/node';
 import type { Announcement, ReportedLoad } from '@spoolplank/membership';
 
 export interface AnnouncerOptions {
-  /** Entry VMs to ask for addresses, as host:port. */
+  /** Entry VMs that are queried for the registrars, as host:port. */
   readonly addresses: readonly string[];
   readonly token: string;
   readonly intervalMs: number;
   readonly describe: () => Omit<Announcement, 'incarnation' | 'sequence' | 'load'>;
   readonly readLoad: () => ReportedLoad;
-  /** How old a load report is when it is sent. */
+  /** Age of the load that is reported, to simulate stale reports. */
   readonly loadLagMs: number;
 }
 
@@ -23,18 +23,18 @@
   readonly registrars: readonly string[];
 }
 
-const ASK_TIMEOUT_MS = 1000;
-const REGISTRARS_KEPT_MS = 5000;
+const REQUEST_TIMEOUT_MS = 1000;
+const REGISTRARS_TTL_MS = 5000;
 
 export function createAnnouncer(options: AnnouncerOptions): Announcer {
   const incarnation = Date.now();
   let sequence = 0;
   let timer: NodeJS.Timeout | undefined;
   let registrars: readonly string[] = [];
-  let registrarsAskedMs = Number.NEGATIVE_INFINITY;
+  let registrarsFetchedAtMs = Number.NEGATIVE_INFINITY;
   const pastLoads: { readonly atMs: number; readonly load: ReportedLoad }[] = [];
 
-  function laggingLoad(): ReportedLoad {
+  function readDelayedLoad(): ReportedLoad {
     const nowMs = performance.now();
     pastLoads.push({ atMs: nowMs, load: options.readLoad() });
     while (pastLoads.length > 1 && (pastLoads[1]?.atMs ?? nowMs) <= nowMs - options.loadLagMs)
@@ -53,15 +53,16 @@
       method,
       path,
       json,
-      timeoutMs: ASK_TIMEOUT_MS,
+      timeoutMs: REQUEST_TIMEOUT_MS,
       headers: { authorization: `Bearer ${options.token}` },
     });
     if (answer.status !== 200) throw new Error(`status ${answer.status}`);
     return answer.json;
   }
 
-  async function findRegistrars(): Promise<void> {
-    if (performance.now() - registrarsAskedMs < REGISTRARS_KEPT_MS && registrars.length > 0) return;
+  async function refreshRegistrars(): Promise<void> {
+    if (performance.now() - registrarsFetchedAtMs < REGISTRARS_TTL_MS && registrars.length > 0)
+      return;
     const { name, dataCentre } = options.describe();
     const path = `/v1/addresses?for=${name}&dataCentre=${dataCentre}`;
     const known = [...new Set([...registrars, ...options.addresses])];
@@ -69,42 +70,42 @@
       try {
         const answer = (await call(address, 'GET', path)) as AddressAnswer;
         registrars = answer.registrars;
-        registrarsAskedMs = performance.now();
+        registrarsFetchedAtMs = performance.now();
         return;
       } catch {
-        // The next address may answer.
+        // Continue with the next address.
       }
     }
   }
 
   async function announceNow(): Promise<void> {
-    await findRegistrars();
+    await refreshRegistrars();
     sequence += 1;
     const body: Announcement = {
       ...options.describe(),
       incarnation,
       sequence,
-      load: laggingLoad(),
+      load: readDelayedLoad(),
     };
     const results = await Promise.allSettled(
       registrars.map((address) => call(address, 'POST', '/v1/announcements', body)),
     );
     if (results.some(({ status }) => status === 'rejected'))
-      registrarsAskedMs = Number.NEGATIVE_INFINITY;
+      registrarsFetchedAtMs = Number.NEGATIVE_INFINITY;
   }
 
-  function loop(): void {
+  function announcePeriodically(): void {
     announceNow()
       .catch(() => {})
       .finally(() => {
-        if (timer) timer = setTimeout(loop, options.intervalMs);
+        if (timer) timer = setTimeout(announcePeriodically, options.intervalMs);
       });
   }
 
   return {
     start() {
       if (options.addresses.length === 0) return;
-      timer = setTimeout(loop, 0);
+      timer = setTimeout(announcePeriodically, 0);
     },
     stop() {
       clearTimeout(timer);
--- a/packages/fakes/src/cacheEvents.ts
+++ b/packages/fakes/src/cacheEvents.ts
@@ -1,4 +1,4 @@
-/** What an engine publishes of its prefix cache: late, and with gaps. */
+/** Simulates the prefix cache events of an engine, which arrive delayed and with gaps. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly kind: 'stored' | 'dropped';
@@ -13,7 +13,7 @@
 
 export interface CacheEventLogOptions {
   readonly delayMs: number;
-  /** One event in this many is lost; 0 loses none. */
+  /** Every n-th event is lost; 0 loses none. */
   readonly lossEvery: number;
 }
 
--- a/packages/fakes/src/engine.ts
+++ b/packages/fakes/src/engine.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a model engine that holds a range of layers. */
+/** A fake model engine that holds a range of layers. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import {
   closeServer,
@@ -26,7 +26,7 @@
 
 export interface FakeEngine {
   readonly port: number;
-  /** Says that it is leaving and stops taking new streams. */
+  /** Announces that the engine is leaving and refuses new streams from then on. */
   leave(): Promise<void>;
   close(): Promise<void>;
 }
@@ -57,7 +57,9 @@
   async function openStream(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const order = parseJsonBody(await readBody(request, MAX_BODY_BYTES)) as unknown as StreamOrder;
     if (isLeaving || faults.refusesStreams)
-      throw new SpoolplankError('no-backend-server', { detail: 'Not taking streams.' });
+      throw new SpoolplankError('no-backend-server', {
+        detail: 'The engine accepts no new streams.',
+      });
     stage.beginStream(order, response);
   }
 
@@ -77,7 +79,9 @@
     const state = parseJsonBody(await readBody(request, MAX_BODY_BYTES)) as unknown as KvExport;
     const handle = url.searchParams.get('handle') ?? '';
     if (!kv.importState(handle, state))
-      throw new SpoolplankError('bad-request', { detail: 'The state is torn or of other layers.' });
+      throw new SpoolplankError('bad-request', {
+        detail: 'The key-value state is truncated or belongs to other layers.',
+      });
     sendJson(response, 200, { positions: state.positions });
   }
 
--- a/packages/fakes/src/engineOptions.ts
+++ b/packages/fakes/src/engineOptions.ts
@@ -1,4 +1,4 @@
-/** How a stand-in engine behaves; every field can be set from the command line. */
+/** Options of a fake engine; each field can be set on the command line. */
 export interface FakeEngineOptions {
   readonly name: string;
   readonly host: string;
@@ -11,24 +11,24 @@
   readonly lastLayer: number;
   readonly acceleratorKind: string;
   readonly maxBatch: number;
-  /** Time of a step with one item. */
+  /** Duration of a step with one item. */
   readonly stepBaseMs: number;
-  /** What each further item adds. */
+  /** Time that each further item adds to a step. */
   readonly stepPerItemMs: number;
-  /** What each prompt token adds beyond the first. */
+  /** Time that each prompt token beyond the first adds to a step. */
   readonly prefillPerTokenMs: number;
   readonly linkDelayMs: number;
   readonly linkBytesPerS: number;
   readonly isFencingChecked: boolean;
-  /** Tokens whose key-value state fits into memory. */
+  /** Capacity of the key-value memory, in tokens. */
   readonly memoryTokens: number;
-  /** How old a load report is when it is sent. */
+  /** Age of the load that is reported, to simulate stale reports. */
   readonly loadLagMs: number;
-  /** One cache event in this many is lost; 0 loses none. */
+  /** Every n-th cache event is lost; 0 loses none. */
   readonly cacheEventLossEvery: number;
   readonly cacheEventDelayMs: number;
   readonly announceIntervalMs: number;
-  /** Entry VMs to ask for addresses, as host:port. */
+  /** Entry VMs that are queried for the registrars, as host:port. */
   readonly addresses: readonly string[];
   readonly token: string;
 }
--- a/packages/fakes/src/engineProtocol.ts
+++ b/packages/fakes/src/engineProtocol.ts
@@ -1,4 +1,4 @@
-/** What entry VMs and engines, and engines among themselves, say to each other. */
+/** Messages between entry VMs and engines, and between the engines of a chain. */
 import type { ChainStage, LineageMark } from '@spoolplank/routing';
 
 export const HOPS_PATH = '/hops';
@@ -6,7 +6,7 @@
 
 /** Opens a stream at the first engine of a chain. */
 export interface StreamOrder {
-  /** Never used twice: session id and attempt number. */
+  /** Unique id of the stream, made of session id and attempt number. */
   readonly handle: string;
   readonly session: string;
   readonly attempt: number;
@@ -15,13 +15,13 @@
   readonly version: string;
   readonly stages: readonly ChainStage[];
   readonly prompt: string;
-  /** Tokens of the answer so far, when a session goes on after a failure. */
+  /** Tokens generated so far, when a session is resumed after a failure. */
   readonly historyTokenIds: readonly number[];
   readonly maxTokens: number;
   readonly priority: number;
 }
 
-/** Activations on their way to a stage, or a sampled token on its way back to the first. */
+/** A message between stages: activations for the next stage, or a sampled token for the first. */
 export interface Hop {
   readonly handle: string;
   readonly session: string;
@@ -30,7 +30,7 @@
   /** Index of the receiving stage. */
   readonly stageIndex: number;
   readonly kind: 'activations' | 'token' | 'cancel' | 'problem';
-  /** Position, in prompt and answer together, of the first activation. */
+  /** Position of the first activation, counted over prompt and answer. */
   readonly fromPosition: number;
   readonly activations: readonly number[];
   readonly priority: number;
@@ -38,7 +38,7 @@
   readonly problem?: string;
 }
 
-/** One line of a stream's answer. */
+/** One line (NDJSON) of a streamed answer. */
 export type StreamLine =
   | {
       readonly kind: 'token';
@@ -50,7 +50,7 @@
   | { readonly kind: 'end'; readonly reason: 'length' | 'stop' }
   | { readonly kind: 'problem'; readonly problem: string };
 
-/** A run of layers over positions, as the engine's record keeps it. */
+/** One execution of an engine's layers over a range of positions, as `GET /record` returns it. */
 export interface LayerRun {
   readonly handle: string;
   readonly session: string;
--- a/packages/fakes/src/engineStage.ts
+++ b/packages/fakes/src/engineStage.ts
@@ -1,4 +1,4 @@
-/** What an engine does with activations: fencing, batches, layers, and passing them on. */
+/** Processes hops on an engine: checks fencing, queues for a batch, runs layers, forwards. */
 import type { ServerResponse } from 'node:http';
 import { SpoolplankError } from '@spoolplank/shared';
 import type { FakeEngineOptions } from './engineOptions';
@@ -10,14 +10,14 @@
 import type { StreamTable } from './streamTable';
 import { embed, sample, tokenize } from './textModel';
 
-/** What can be changed while the engine runs, to bring about a fault. */
+/** Faults that a test can inject while the engine runs. */
 export interface EngineFaults {
   linkDelayMs: number;
   linkBytesPerS: number;
-  /** Layer whose run is left out, to show that the checks see it. */
+  /** First layer that the reported lineage leaves out, to test that callers detect the gap. */
   skippedLayer: number | null;
   refusesStreams: boolean;
-  /** Position at which answers end early, as if they were whole. */
+  /** Position at which answers end early, as if they were complete. */
   endAfter: number | null;
 }
 
@@ -30,13 +30,13 @@
 }
 
 export interface EngineStage {
-  /** Every run of layers, for tests to check. */
+  /** Every execution of the engine's layers, for tests to verify. */
   readonly records: readonly LayerRun[];
   receiveHop(hop: Hop): void;
   /**
-   * Begins a stream as the first stage of its chain.
+   * Opens a stream as the first stage of its chain.
    *
-   * @throws SpoolplankError `forbidden` for an old fencing number or a handle used before.
+   * @throws SpoolplankError `forbidden` for a stale fencing number or a reused handle.
    */
   beginStream(order: StreamOrder, response: ServerResponse): void;
 }
@@ -49,13 +49,13 @@
   const records: LayerRun[] = [];
   /** Highest fencing number seen for each session, on engines that check it. */
   const fencingNumbers = new Map<string, number>();
-  const cancelled = new Set<string>();
+  const releasedHandles = new Set<string>();
 
   function linkTo(hop: Hop, stageIndex: number): HopLink {
     const stage = hop.stages[stageIndex];
     if (!stage)
-      throw new SpoolplankError('bad-request', { detail: `There is no stage ${stageIndex}.` });
-    // By address: an engine that was restarted has another one under the same name.
+      throw new SpoolplankError('bad-request', { detail: `The chain has no stage ${stageIndex}.` });
+    // Keyed by address: a restarted engine keeps its name but gets a new address.
     const address = `${stage.host}:${stage.port}`;
     const known = links.get(address);
     if (known) return known;
@@ -71,11 +71,13 @@
     if (!options.isFencingChecked) return;
     const highest = fencingNumbers.get(session) ?? 0;
     if (fencingNumber < highest)
-      throw new SpoolplankError('forbidden', { detail: `Fencing number ${fencingNumber} is old.` });
+      throw new SpoolplankError('forbidden', {
+        detail: `Fencing number ${fencingNumber} is stale.`,
+      });
     fencingNumbers.set(session, fencingNumber);
   }
 
-  /** Set below: what handles a hop may in turn hand one to this engine itself. */
+  /** Assigned below: the handlers and `receiveHop` call each other. */
   let receiveHop: (hop: Hop) => void = () => {};
 
   function reportProblem(hop: Hop, problem: string): void {
@@ -102,7 +104,7 @@
     });
   }
 
-  function passOn(hop: Hop, activations: readonly number[]): void {
+  function forward(hop: Hop, activations: readonly number[]): void {
     const { skippedLayer } = faults;
     const mark = {
       engine: options.name,
@@ -134,31 +136,34 @@
     else linkTo(hop, 0).send(back);
   }
 
-  function runItem(hop: Hop): void {
-    if (cancelled.has(hop.handle)) return;
-    const held = kv.positions(hop.handle);
-    if (held !== hop.fromPosition) {
-      reportProblem(hop, `${options.name} holds ${held} positions, not ${hop.fromPosition}`);
+  function runLayers(hop: Hop): void {
+    if (releasedHandles.has(hop.handle)) return;
+    const heldPositions = kv.positions(hop.handle);
+    if (heldPositions !== hop.fromPosition) {
+      reportProblem(
+        hop,
+        `${options.name} holds ${heldPositions} positions, expected ${hop.fromPosition}`,
+      );
       return;
     }
     record(hop);
-    passOn(
+    forward(
       hop,
       hop.activations.map((activation) => kv.run(hop.handle, activation)),
     );
   }
 
   function queueActivations(hop: Hop): void {
-    // A prompt that begins like one of late costs time only for the rest.
-    const known = hop.fromPosition === 0 ? kv.keptPrefix(hop.activations) : 0;
-    const extraTokens = Math.max(0, hop.activations.length - 1 - known);
-    loop.add({ priority: hop.priority, extraTokens, run: () => runItem(hop) });
+    // Tokens of a prompt whose prefix is cached add no prefill time.
+    const cachedTokens = hop.fromPosition === 0 ? kv.cachedPrefixLength(hop.activations) : 0;
+    const extraTokens = Math.max(0, hop.activations.length - 1 - cachedTokens);
+    loop.add({ priority: hop.priority, extraTokens, run: () => runLayers(hop) });
   }
 
-  /** Lets go of a handle here and on every later stage. */
-  function endHandle(hop: Hop): void {
-    if (cancelled.has(hop.handle)) return;
-    cancelled.add(hop.handle);
+  /** Releases a handle on this stage and on all later ones. */
+  function releaseHandle(hop: Hop): void {
+    if (releasedHandles.has(hop.handle)) return;
+    releasedHandles.add(hop.handle);
     kv.release(hop.handle);
     if (hop.stageIndex + 1 < hop.stages.length) {
       linkTo(hop, hop.stageIndex + 1).send({
@@ -172,9 +177,9 @@
 
   function receiveToken(hop: Hop): void {
     const tokenId = hop.activations[0] ?? 0;
-    const shouldGoOn = streams.deliver(hop.handle, tokenId, hop.lineage);
-    if (!shouldGoOn) {
-      endHandle(hop);
+    const isMoreWanted = streams.deliver(hop.handle, tokenId, hop.lineage);
+    if (!isMoreWanted) {
+      releaseHandle(hop);
       return;
     }
     queueActivations({
@@ -188,10 +193,10 @@
   const HOP_HANDLERS: Readonly<Record<Hop['kind'], (hop: Hop) => void>> = {
     activations: queueActivations,
     token: receiveToken,
-    cancel: endHandle,
+    cancel: releaseHandle,
     problem(hop) {
       streams.fail(hop.handle, hop.problem ?? 'unknown problem');
-      endHandle(hop);
+      releaseHandle(hop);
     },
   };
 
@@ -199,7 +204,7 @@
     try {
       if (hop.kind === 'activations') checkFencing(hop);
     } catch {
-      reportProblem(hop, `${options.name} refused an old fencing number`);
+      reportProblem(hop, `${options.name} rejected a stale fencing number`);
       return;
     }
     HOP_HANDLERS[hop.kind](hop);
@@ -207,8 +212,10 @@
 
   function beginStream(order: StreamOrder, response: ServerResponse): void {
     checkFencing(order);
-    if (streams.has(order.handle) || cancelled.has(order.handle)) {
-      throw new SpoolplankError('forbidden', { detail: `Handle ${order.handle} was used before.` });
+    if (streams.has(order.handle) || releasedHandles.has(order.handle)) {
+      throw new SpoolplankError('forbidden', {
+        detail: `Handle ${order.handle} is already in use or released.`,
+      });
     }
     const inputs = [...tokenize(order.prompt), ...order.historyTokenIds].map(embed);
     const hop: Hop = {
@@ -219,7 +226,7 @@
       activations: inputs,
       lineage: [],
     };
-    streams.open(order, response, () => endHandle(hop));
+    streams.open(order, response, () => releaseHandle(hop));
     queueActivations(hop);
   }
 
--- a/packages/fakes/src/hopLink.ts
+++ b/packages/fakes/src/hopLink.ts
@@ -1,4 +1,4 @@
-/** The link to the next engine of a chain, with a bandwidth and a delay that can be set. */
+/** A simulated link to another engine of a chain, with configurable bandwidth and delay. */
 import { callHttp, createAgent } from '@spoolplank/node';
 import type { Endpoint } from '@spoolplank/node';
 import type { Hop } from './engineProtocol';
@@ -13,30 +13,30 @@
   send(hop: Hop): void;
 }
 
-/** Size of one position's activation on the link that is stood in for. */
+/** Bytes of one position's activation on the simulated link. */
 const ACTIVATION_BYTES = 16_384;
 const MS_PER_S = 1000;
 const SEND_TIMEOUT_MS = 2000;
 
 /**
- * Creates a link. What waits is sent in one request; a request that fails is not repeated: the
- * sessions on it stall, as on a cut cable.
+ * Creates a link that sends all pending hops in one request. A failed request is not retried: the
+ * sessions on it stall, as after a network partition.
  */
-export function createHopLink(endpoint: Endpoint, readSpeed: () => LinkSpeed): HopLink {
+export function createHopLink(endpoint: Endpoint, readLinkSpeed: () => LinkSpeed): HopLink {
   const agent = createAgent(4);
-  let waiting: Hop[] = [];
+  let pendingHops: Hop[] = [];
   let isScheduled = false;
-  let freeAtMs = 0;
+  let idleAtMs = 0;
 
   function flush(): void {
     isScheduled = false;
-    const hops = waiting;
-    waiting = [];
-    const { delayMs, bytesPerS } = readSpeed();
+    const hops = pendingHops;
+    pendingHops = [];
+    const { delayMs, bytesPerS } = readLinkSpeed();
     const activations = hops.reduce((sum, { activations: values }) => sum + values.length, 0);
     const nowMs = performance.now();
-    freeAtMs =
-      Math.max(freeAtMs, nowMs) + ((activations * ACTIVATION_BYTES) / bytesPerS) * MS_PER_S;
+    idleAtMs =
+      Math.max(idleAtMs, nowMs) + ((activations * ACTIVATION_BYTES) / bytesPerS) * MS_PER_S;
     const deliver = () => {
       const body = JSON.stringify(hops);
       callHttp({
@@ -48,14 +48,14 @@
         timeoutMs: SEND_TIMEOUT_MS,
       }).catch(() => {});
     };
-    const waitMs = freeAtMs + delayMs - nowMs;
+    const waitMs = idleAtMs + delayMs - nowMs;
     if (waitMs < 0.3) deliver();
     else setTimeout(deliver, waitMs);
   }
 
   return {
     send(hop) {
-      waiting.push(hop);
+      pendingHops.push(hop);
       if (isScheduled) return;
       isScheduled = true;
       setImmediate(flush);
--- a/packages/fakes/src/kvStore.ts
+++ b/packages/fakes/src/kvStore.ts
@@ -1,15 +1,15 @@
-/** Key-value state of the sessions on one engine, in limited memory, with prefix reuse. */
+/** Key-value state of the sessions on one engine, with limited memory and a prefix cache. */
 import { nextLayerState, runLayer } from './textModel';
 
-/** State of one session's layers. */
+/** Layer states of one session. */
 interface SessionState {
-  /** Last state of each held layer. */
+  /** Current state of each layer. */
   readonly layerStates: number[];
-  /** Inputs taken in, the first held layer's activations; their prefix identifies the state. */
+  /** Activations that entered the first layer so far; they identify the state as a prefix. */
   readonly inputs: number[];
 }
 
-/** State of a session on the move to another engine. */
+/** Serialized state of a session, for its transfer to another engine. */
 export interface KvExport {
   readonly handle: string;
   readonly firstLayer: number;
@@ -17,7 +17,7 @@
   readonly positions: number;
   readonly layerStates: readonly number[];
   readonly inputs: readonly number[];
-  /** Detects an export that was cut off or changed on the way. */
+  /** Detects an export that was truncated or corrupted in transfer. */
   readonly checksum: number;
 }
 
@@ -25,23 +25,23 @@
   readonly firstLayer: number;
   readonly lastLayer: number;
   readonly memoryTokens: number;
-  /** Called with prefixes that were kept or dropped. */
+  /** Called when a prefix is added to the cache or evicted from it. */
   readonly onCacheEvent: (kind: 'stored' | 'dropped', handle: string, tokens: number) => void;
 }
 
 export interface KvStore {
   readonly usedTokens: number;
   readonly sessions: number;
-  /** Positions that a session has taken in. */
+  /** Number of positions that a session has processed. */
   positions(handle: string): number;
-  /** Runs the held layers over one activation and returns what comes out. */
+  /** Runs the engine's layers over one activation and returns the output of the last one. */
   run(handle: string, activation: number): number;
-  /** Length of the longest kept state that is a prefix of inputs: what need not be worked out. */
-  keptPrefix(inputs: readonly number[]): number;
-  /** Lets go of a session; its state stays as a prefix until memory is needed. */
+  /** Length of the longest cached prefix of the inputs, for which no prefill is needed. */
+  cachedPrefixLength(inputs: readonly number[]): number;
+  /** Releases a session; its state stays in the prefix cache until memory is needed. */
   release(handle: string): void;
   exportState(handle: string): KvExport | null;
-  /** Takes in a state; false when it is torn or of other layers. */
+  /** Imports a state; returns false if it is truncated or belongs to other layers. */
   importState(handle: string, state: KvExport): boolean;
 }
 
@@ -62,24 +62,24 @@
   memoryTokens,
   onCacheEvent,
 }: KvStoreOptions): KvStore {
-  const live = new Map<string, SessionState>();
-  /** Kept prefixes, least recently used first. */
-  const kept = new Map<string, SessionState>();
+  const activeSessions = new Map<string, SessionState>();
+  /** States of released sessions, in order of release; the oldest is evicted first. */
+  const cachedPrefixes = new Map<string, SessionState>();
   let usedTokens = 0;
   const layerCount = lastLayer - firstLayer + 1;
 
   function stateOf(handle: string): SessionState {
-    const known = live.get(handle);
+    const known = activeSessions.get(handle);
     if (known) return known;
     const state = { layerStates: new Array<number>(layerCount).fill(0), inputs: [] };
-    live.set(handle, state);
+    activeSessions.set(handle, state);
     return state;
   }
 
-  function makeRoom(): void {
-    for (const [handle, { inputs }] of kept) {
+  function evictPrefixes(): void {
+    for (const [handle, { inputs }] of cachedPrefixes) {
       if (usedTokens <= memoryTokens) return;
-      kept.delete(handle);
+      cachedPrefixes.delete(handle);
       usedTokens -= inputs.length;
       onCacheEvent('dropped', handle, inputs.length);
     }
@@ -90,9 +90,9 @@
       return usedTokens;
     },
     get sessions() {
-      return live.size;
+      return activeSessions.size;
     },
-    positions: (handle) => live.get(handle)?.inputs.length ?? 0,
+    positions: (handle) => activeSessions.get(handle)?.inputs.length ?? 0,
     run(handle, input) {
       const state = stateOf(handle);
       let activation = input;
@@ -104,23 +104,25 @@
       }
       state.inputs.push(input);
       usedTokens += 1;
-      makeRoom();
+      evictPrefixes();
       return activation;
     },
-    keptPrefix(inputs) {
-      const prefixes = [...kept.values()].filter((state) => isPrefix(state.inputs, inputs));
+    cachedPrefixLength(inputs) {
+      const prefixes = [...cachedPrefixes.values()].filter((state) =>
+        isPrefix(state.inputs, inputs),
+      );
       return Math.max(0, ...prefixes.map((state) => state.inputs.length));
     },
     release(handle) {
-      const state = live.get(handle);
+      const state = activeSessions.get(handle);
       if (!state) return;
-      live.delete(handle);
-      kept.set(handle, state);
+      activeSessions.delete(handle);
+      cachedPrefixes.set(handle, state);
       onCacheEvent('stored', handle, state.inputs.length);
-      makeRoom();
+      evictPrefixes();
     },
     exportState(handle) {
-      const state = live.get(handle) ?? kept.get(handle);
+      const state = activeSessions.get(handle) ?? cachedPrefixes.get(handle);
       if (!state) return null;
       const body = {
         handle,
@@ -133,13 +135,16 @@
       return { ...body, checksum: checksumOf(body) };
     },
     importState(handle, state) {
-      const isSameLayers = state.firstLayer === firstLayer && state.lastLayer === lastLayer;
-      const isWhole =
+      const hasSameLayers = state.firstLayer === firstLayer && state.lastLayer === lastLayer;
+      const isIntact =
         state.checksum === checksumOf(state) && state.inputs.length === state.positions;
-      if (!isSameLayers || !isWhole || state.layerStates.length !== layerCount) return false;
-      live.set(handle, { layerStates: [...state.layerStates], inputs: [...state.inputs] });
+      if (!hasSameLayers || !isIntact || state.layerStates.length !== layerCount) return false;
+      activeSessions.set(handle, {
+        layerStates: [...state.layerStates],
+        inputs: [...state.inputs],
+      });
       usedTokens += state.positions;
-      makeRoom();
+      evictPrefixes();
       return true;
     },
   };
--- a/packages/fakes/src/main.ts
+++ b/packages/fakes/src/main.ts
@@ -1,15 +1,15 @@
-/** Starts one stand-in: `main.ts engine|service|weight-store '{"name":...}'`. */
+/** Starts one fake: `main.ts engine|service|weight-store '{"name":...}'`. */
 import { startFakeEngine } from './engine';
 import { startFakeService } from './plainService';
 import { startFakeWeightStore } from './weightStore';
 
-interface Running {
+interface RunningFake {
   readonly port: number;
   leave?(): Promise<void>;
   close(): Promise<void>;
 }
 
-const STARTERS: Readonly<Record<string, (options: object) => Promise<Running>>> = {
+const STARTERS: Readonly<Record<string, (options: object) => Promise<RunningFake>>> = {
   engine: startFakeEngine,
   service: startFakeService,
   'weight-store': startFakeWeightStore,
@@ -23,8 +23,8 @@
   const running = await start(JSON.parse(text) as object);
   process.stdout.write(`${JSON.stringify({ port: running.port })}\n`);
   process.on('SIGTERM', () => {
-    const left = running.leave?.() ?? Promise.resolve();
-    left.catch(() => {}).finally(() => process.exit(0));
+    const departure = running.leave?.() ?? Promise.resolve();
+    departure.catch(() => {}).finally(() => process.exit(0));
   });
 }
 
--- a/packages/fakes/src/plainService.ts
+++ b/packages/fakes/src/plainService.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a plain service, which counts how often it ran for each idempotency key. */
+/** A fake plain service that counts the executions of each idempotency key. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import {
   closeServer,
@@ -19,9 +19,9 @@
   readonly host: string;
   readonly port: number;
   readonly dataCentre: string;
-  /** Time that one call takes. */
+  /** Duration of one call. */
   readonly durationMs: number;
-  /** Calls that run at once; the rest wait. */
+  /** Maximum number of concurrent calls; further calls are queued. */
   readonly capacity: number;
   readonly announceIntervalMs: number;
   readonly addresses: readonly string[];
@@ -48,16 +48,19 @@
   close(): Promise<void>;
 }
 
-/** Faults that a test can set while the service runs. */
+/** Faults that a test can inject while the service runs. */
 interface ServiceFaults {
   durationMs: number;
-  /** `before`: refuse unrun; `during`: run, then break off; `after`: run, send half. */
+  /**
+   * `before`: refuse without executing; `during`: execute, then close the connection without an
+   * answer; `after`: execute, then close the connection after part of the answer.
+   */
   failure: 'none' | 'before' | 'during' | 'after';
-  /** With a refusal: the seconds of backoff that it asks for; 0 for none. */
+  /** Value of `retry-after` in refusals, in seconds; 0 omits the header. */
   retryAfterS: number;
-  /** Requests a second that it names with each answer; 0 for none. */
+  /** Rate limit announced with each answer, in requests per second; 0 announces none. */
   limitPerS: number;
-  /** Calls that still fail; then the service is well again. */
+  /** Number of calls that still fail before the service recovers. */
   remaining: number;
 }
 
@@ -73,49 +76,54 @@
     limitPerS: 0,
     remaining: Number.POSITIVE_INFINITY,
   };
-  const waiting: (() => void)[] = [];
+  const slotWaiters: (() => void)[] = [];
   let running = 0;
   let isLeaving = false;
-  let lastRequestMs = 0;
+  let lastRequestAtMs = 0;
   let refusals = 0;
 
-  async function takeSlot(): Promise<void> {
+  async function acquireSlot(): Promise<void> {
     if (running >= options.capacity) {
       await new Promise<void>((resolve) => {
-        waiting.push(resolve);
+        slotWaiters.push(resolve);
       });
     }
     running += 1;
   }
 
-  function giveSlot(): void {
+  function releaseSlot(): void {
     running -= 1;
-    waiting.shift()?.();
+    slotWaiters.shift()?.();
   }
 
-  function takeFailure(): ServiceFaults['failure'] {
+  function consumeFailure(): ServiceFaults['failure'] {
     if (faults.failure === 'none' || faults.remaining <= 0) return 'none';
     faults.remaining -= 1;
     return faults.failure;
   }
 
   async function serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    lastRequestMs = performance.now();
+    lastRequestAtMs = performance.now();
     const body = await readBody(request, MAX_BODY_BYTES);
-    const failure = takeFailure();
+    const failure = consumeFailure();
     if (failure === 'before') {
       refusals += 1;
-      const rest: Readonly<Record<string, string>> =
+      const retryHeaders: Readonly<Record<string, string>> =
         faults.retryAfterS > 0 ? { 'retry-after': String(faults.retryAfterS) } : {};
-      sendJson(response, 503, { refused: true }, { 'spoolplank-outcome': 'not-run', ...rest });
+      sendJson(
+        response,
+        503,
+        { refused: true },
+        { 'spoolplank-outcome': 'not-run', ...retryHeaders },
+      );
       return;
     }
-    await takeSlot();
+    await acquireSlot();
     const header = request.headers['idempotency-key'];
     const key = typeof header === 'string' ? header : '';
     executions.set(key, (executions.get(key) ?? 0) + 1);
     await delay(faults.durationMs);
-    giveSlot();
+    releaseSlot();
     if (failure === 'during') {
       request.socket.destroy();
       return;
@@ -134,9 +142,9 @@
       setTimeout(() => request.socket.destroy(), 10);
       return;
     }
-    const limit: Readonly<Record<string, string>> =
+    const limitHeaders: Readonly<Record<string, string>> =
       faults.limitPerS > 0 ? { 'spoolplank-limit': String(faults.limitPerS) } : {};
-    sendJson(response, 200, answer, limit);
+    sendJson(response, 200, answer, limitHeaders);
   }
 
   let server: Server;
@@ -153,7 +161,7 @@
       state: isLeaving ? 'leaving' : 'ready',
       services: [options.service],
     }),
-    readLoad: () => ({ running, queued: waiting.length }),
+    readLoad: () => ({ running, queued: slotWaiters.length }),
   });
 
   async function route(request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -167,7 +175,7 @@
       await announcer.announceNow();
       sendJson(response, 200, { isLeaving });
     } else if (request.url === '/-/totals') {
-      sendJson(response, 200, { lastRequestAgoMs: performance.now() - lastRequestMs, refusals });
+      sendJson(response, 200, { lastRequestAgoMs: performance.now() - lastRequestAtMs, refusals });
     } else if (request.url?.startsWith('/-/')) {
       throw new SpoolplankError('not-found');
     } else {
--- a/packages/fakes/src/stepLoop.ts
+++ b/packages/fakes/src/stepLoop.ts
@@ -1,7 +1,7 @@
-/** Continuous batching: each step takes what waits, up to the greatest batch. */
+/** Continuous batching: each step runs the queued items, up to the maximum batch size. */
 export interface StepItem {
   readonly priority: number;
-  /** Tokens beyond the first that this item makes the step longer by. */
+  /** Prefill tokens beyond the first, which lengthen the step. */
   readonly extraTokens: number;
   run(): void;
 }
@@ -16,24 +16,24 @@
 export interface StepLoop {
   readonly queued: number;
   readonly running: number;
-  /** Steps and items since the start. */
+  /** Number of steps and items completed since the start. */
   readonly totals: { readonly steps: number; readonly items: number };
   add(item: StepItem): void;
 }
 
 export function createStepLoop(options: StepLoopOptions): StepLoop {
   const { maxBatch, stepBaseMs, stepPerItemMs, prefillPerTokenMs } = options;
-  let waiting: StepItem[] = [];
+  let queue: StepItem[] = [];
   let running = 0;
   let steps = 0;
   let items = 0;
   let isBusy = false;
-  /** When the engine is free: kept apart from timers, so that their lateness does not add up. */
-  let freeAtMs = 0;
+  /** When the engine becomes idle; computed, so that timer lag does not accumulate. */
+  let idleAtMs = 0;
 
-  function takeBatch(): readonly StepItem[] {
-    if (waiting.length > maxBatch) waiting.sort((a, b) => b.priority - a.priority);
-    return waiting.splice(0, maxBatch);
+  function nextBatch(): readonly StepItem[] {
+    if (queue.length > maxBatch) queue.sort((a, b) => b.priority - a.priority);
+    return queue.splice(0, maxBatch);
   }
 
   function durationMs(batch: readonly StepItem[]): number {
@@ -41,31 +41,31 @@
     return stepBaseMs + stepPerItemMs * (batch.length - 1) + prefillPerTokenMs * extraTokens;
   }
 
-  function step(): void {
-    if (waiting.length === 0) {
+  function startStep(): void {
+    if (queue.length === 0) {
       isBusy = false;
       return;
     }
     isBusy = true;
-    const batch = takeBatch();
+    const batch = nextBatch();
     running = batch.length;
     const nowMs = performance.now();
-    freeAtMs = Math.max(freeAtMs, nowMs - 1) + durationMs(batch);
+    idleAtMs = Math.max(idleAtMs, nowMs - 1) + durationMs(batch);
     setTimeout(
       () => {
         running = 0;
         steps += 1;
         items += batch.length;
         batch.forEach((item) => item.run());
-        step();
+        startStep();
       },
-      Math.max(0, freeAtMs - nowMs),
+      Math.max(0, idleAtMs - nowMs),
     );
   }
 
   return {
     get queued() {
-      return waiting.length;
+      return queue.length;
     },
     get running() {
       return running;
@@ -74,11 +74,11 @@
       return { steps, items };
     },
     add(item) {
-      waiting = [...waiting, item];
-      // In the next turn, so that items that arrive together share a step.
+      queue = [...queue, item];
+      // Deferred to the next event loop turn, so that items that arrive together share a step.
       if (!isBusy) {
         isBusy = true;
-        setImmediate(step);
+        setImmediate(startStep);
       }
     },
   };
--- a/packages/fakes/src/streamTable.ts
+++ b/packages/fakes/src/streamTable.ts
@@ -1,4 +1,4 @@
-/** The streams that callers of an engine hold open. */
+/** Open response streams of an engine, by handle. */
 import type { ServerResponse } from 'node:http';
 import type { LineageMark } from '@spoolplank/routing';
 import type { StreamLine, StreamOrder } from './engineProtocol';
@@ -13,15 +13,15 @@
 export interface StreamTable {
   readonly size: number;
   has(handle: string): boolean;
-  /** Answers an order with a stream; `onClose` runs when the other side lets go of it. */
+  /** Answers an order with a stream; `onClose` runs when the client closes the connection early. */
   open(order: StreamOrder, response: ServerResponse, onClose: () => void): void;
-  /** Sends a token; returns whether another one is wanted. */
+  /** Sends a token; returns whether the stream needs another one. */
   deliver(handle: string, tokenId: number, lineage: readonly LineageMark[]): boolean;
   fail(handle: string, problem: string): void;
 }
 
-/** @param readEndAfter Position at which answers are broken off as if whole; null for never. */
-export function createStreamTable(readEndAfter: () => number | null = () => null): StreamTable {
+/** @param getEndAfter Position at which answers end early as if complete; null disables this. */
+export function createStreamTable(getEndAfter: () => number | null = () => null): StreamTable {
   const streams = new Map<string, OpenStream>();
 
   function write(stream: OpenStream, line: StreamLine): void {
@@ -60,7 +60,7 @@
         lineage,
       });
       stream.nextPosition += 1;
-      const endAt = Math.min(stream.maxTokens, readEndAfter() ?? Number.POSITIVE_INFINITY);
+      const endAt = Math.min(stream.maxTokens, getEndAfter() ?? Number.POSITIVE_INFINITY);
       if (stream.nextPosition < endAt) return true;
       finish(handle, { kind: 'end', reason: 'length' });
       return false;
--- a/packages/fakes/src/cutLink.ts
+++ b/packages/fakes/src/tcpProxy.ts
@@ -1,36 +1,39 @@
-/** A TCP connection in the middle that can be cut, frozen and slowed. */
+/** A TCP proxy that injects network faults: it can drop or freeze all connections. */
 import { connect, createServer } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
 import type { Endpoint } from '@spoolplank/node';
 
-/** `open`: passes bytes; `frozen`: keeps connections but passes nothing; `cut`: drops all. */
-export type LinkState = 'open' | 'frozen' | 'cut';
+/**
+ * `open`: forwards bytes; `frozen`: keeps connections open but forwards nothing; `cut`: closes all
+ * connections and accepts no new ones.
+ */
+export type ProxyState = 'open' | 'frozen' | 'cut';
 
-export interface CutLink {
+export interface TcpProxy {
   readonly port: number;
-  setState(state: LinkState): void;
-  /** Bytes that passed. */
+  setState(state: ProxyState): void;
+  /** Bytes forwarded in both directions. */
   readonly bytes: number;
   close(): Promise<void>;
 }
 
-export interface CutLinkOptions {
+export interface TcpProxyOptions {
   readonly target: Endpoint;
   readonly host?: string;
   readonly port?: number;
 }
 
-/** Starts a link that listens on a port of its own and connects on to a target. */
-export function startCutLink({
+/** Starts a proxy that listens on its own port and forwards each connection to the target. */
+export function startTcpProxy({
   target,
   host = '127.0.0.1',
   port = 0,
-}: CutLinkOptions): Promise<CutLink> {
+}: TcpProxyOptions): Promise<TcpProxy> {
   const sockets = new Set<Socket>();
-  let state: LinkState = 'open';
+  let state: ProxyState = 'open';
   let bytes = 0;
 
-  function track(socket: Socket, other: Socket): void {
+  function relay(socket: Socket, other: Socket): void {
     sockets.add(socket);
     socket.on('data', (chunk: Buffer) => {
       bytes += chunk.length;
@@ -50,11 +53,11 @@
       return;
     }
     const outgoing = connect(target.port, target.host);
-    track(incoming, outgoing);
-    track(outgoing, incoming);
+    relay(incoming, outgoing);
+    relay(outgoing, incoming);
   });
 
-  const apply: Readonly<Record<LinkState, (socket: Socket) => void>> = {
+  const SOCKET_ACTIONS: Readonly<Record<ProxyState, (socket: Socket) => void>> = {
     open: (socket) => socket.resume(),
     frozen: (socket) => socket.pause(),
     cut: (socket) => socket.destroy(),
@@ -70,7 +73,7 @@
         },
         setState(next) {
           state = next;
-          sockets.forEach(apply[next]);
+          sockets.forEach(SOCKET_ACTIONS[next]);
         },
         close: () =>
           new Promise((done) => {
--- a/packages/fakes/src/textModel.ts
+++ b/packages/fakes/src/textModel.ts
@@ -1,7 +1,7 @@
 /**
- * The arithmetic of the stand-in model. A token depends on every layer, in order, and on all
- * tokens before it through each layer's key-value state: a layer that is left out, run twice
- * or run on the wrong state changes the text.
+ * A deterministic model for the fake engines. Each token depends on every layer, in order, and,
+ * through the layers' key-value state, on all earlier tokens. A layer that is skipped, run twice
+ * or run on the wrong state therefore changes the text.
  */
 const WORDS: readonly string[] = [
   'skip',
@@ -38,17 +38,17 @@
   'due',
 ];
 
-const MIX_A = 0x85_eb_ca_6b;
-const MIX_B = 0xc2_b2_ae_35;
+const MULTIPLIER_A = 0x85_eb_ca_6b;
+const MULTIPLIER_B = 0xc2_b2_ae_35;
 
-/** Number of different tokens the model can produce. */
+/** Number of distinct tokens that the model can produce. */
 export const VOCABULARY_SIZE = 4096;
 
 /** Mixes two 32-bit numbers into one; the finalizer of MurmurHash3. */
 export function mix(a: number, b: number): number {
-  let x = (a ^ Math.imul(b + 0x9e_37_79_b9, MIX_A)) >>> 0;
-  x = Math.imul(x ^ (x >>> 16), MIX_A) >>> 0;
-  x = Math.imul(x ^ (x >>> 13), MIX_B) >>> 0;
+  let x = (a ^ Math.imul(b + 0x9e_37_79_b9, MULTIPLIER_A)) >>> 0;
+  x = Math.imul(x ^ (x >>> 16), MULTIPLIER_A) >>> 0;
+  x = Math.imul(x ^ (x >>> 13), MULTIPLIER_B) >>> 0;
   return (x ^ (x >>> 16)) >>> 0;
 }
 
@@ -64,33 +64,33 @@
     );
 }
 
-/** What goes into the first layer for a token. */
+/** Returns the activation that enters the first layer for a token. */
 export function embed(tokenId: number): number {
   return mix(tokenId, 0x51_7c_c1_b7);
 }
 
-/** Picks the next token from what comes out of the last layer. */
+/** Selects the next token from the output of the last layer. */
 export function sample(activation: number): number {
   return activation % VOCABULARY_SIZE;
 }
 
-/** The text of a token. */
+/** Returns the text of a token. */
 export function renderToken(tokenId: number): string {
   const word = WORDS[tokenId % WORDS.length] ?? '';
   return tokenId % 11 === 0 ? ` ${word}${tokenId}.` : ` ${word}`;
 }
 
-/** One layer: its output for an activation, given its state before. */
+/** Computes a layer's output for an activation, given the layer's state. */
 export function runLayer(layer: number, activation: number, state: number): number {
   return mix(mix(activation, layer), state);
 }
 
-/** A layer's state after it took in an activation. */
+/** Computes a layer's state after it has processed an activation. */
 export function nextLayerState(state: number, activation: number): number {
   return mix(state, activation);
 }
 
-/** The whole answer, computed in one place: what a correct run must give, byte for byte. */
+/** Computes the complete answer locally; a correct run must match it byte for byte. */
 export function expectedAnswer(prompt: string, layers: number, maxTokens: number): string {
   const states = new Array<number>(layers).fill(0);
   const step = (tokenId: number): number => {
--- a/packages/fakes/src/weightStore.ts
+++ b/packages/fakes/src/weightStore.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the store of model weights, with one limit on all that it sends. */
+/** A fake model weight store, with a bandwidth limit shared by all transfers. */
 import { closeServer, delay, listen, portOf, sendJson } from '@spoolplank/node';
 
 export interface FakeWeightStoreOptions {
@@ -22,12 +22,15 @@
 
 const MS_PER_S = 1000;
 
-/** Serves `GET /weights?firstLayer=&lastLayer=`: answers once the layers would have arrived. */
+/**
+ * Serves `GET /weights?firstLayer=&lastLayer=`: answers after the time that a transfer of these
+ * layers takes.
+ */
 export async function startFakeWeightStore(
   given: Partial<FakeWeightStoreOptions> = {},
 ): Promise<FakeWeightStore> {
   const options = { ...DEFAULT_WEIGHT_STORE_OPTIONS, ...given };
-  let freeAtMs = 0;
+  let idleAtMs = 0;
   const server = await listen({
     ...options,
     onRequest(request, response) {
@@ -36,8 +39,8 @@
         Number(searchParams.get('lastLayer')) - Number(searchParams.get('firstLayer')) + 1;
       const bytes = layers * options.bytesPerLayer;
       const nowMs = performance.now();
-      freeAtMs = Math.max(freeAtMs, nowMs) + (bytes / options.bytesPerS) * MS_PER_S;
-      delay(freeAtMs - nowMs)
+      idleAtMs = Math.max(idleAtMs, nowMs) + (bytes / options.bytesPerS) * MS_PER_S;
+      delay(idleAtMs - nowMs)
         .then(() => sendJson(response, 200, { bytes }))
         .catch(() => {});
     },
