--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,4 +1,7 @@
-/** Builds `dist/spoolplank`: the bundle inside a copy of this Node, and `dist/fakes.cjs`. */
+/**
+ * Builds `dist/spoolplank`, a single executable application (the bundle in a copy of the Node.js
+ * binary), and `dist/fakes.cjs`.
+ */
 import { execFileSync } from 'node:child_process';
 import { chmodSync, copyFileSync, mkdirSync, renameSync, writeFileSync } from 'node:fs';
 import { build } from 'esbuild';
@@ -19,7 +22,7 @@
   outfile: 'dist/spoolplank.cjs',
   minify: true,
   external: ['typescript', 'ts-node'],
-  // Inside the executable `require` knows built-in modules only and warns of anything else.
+  // Inside the executable `require` resolves built-in modules only and warns about all others.
   banner: { js: "require = require('node:module').createRequire(process.execPath);" },
 });
 await build({ ...COMMON, entryPoints: ['packages/fakes/src/main.ts'], outfile: 'dist/fakes.cjs' });
--- a/scripts/buildPlatform.mjs
+++ b/scripts/buildPlatform.mjs
@@ -1,4 +1,4 @@
-/** Builds `target/spoolplank-platform.cjs`, the program for the users' platform. */
+/** Builds `target/spoolplank-platform.cjs`, the bundle that runs on the users' platform. */
 import { mkdirSync } from 'node:fs';
 import { build } from 'esbuild';
 
--- a/scripts/knownRed.ts
+++ b/scripts/knownRed.ts
@@ -1,16 +1,16 @@
 /**
- * The tests that may fail: `KNOWN-RED.txt` has a line for each of them.
+ * Known failures: tests that may fail without failing the run. `KNOWN-RED.txt` lists one a line:
  *
  *   FILE › TEST | command and seed | what was seen | open issue
  */
 
-/** A test that failed: its file from the root, and its own name without those of its suites. */
+/** A failed test: its file relative to the root, and its name without the names of its suites. */
 export interface TestFailure {
   readonly file: string;
   readonly name: string;
 }
 
-export interface KnownRed extends TestFailure {
+export interface KnownFailure extends TestFailure {
   readonly line: string;
 }
 
@@ -23,32 +23,32 @@
 const SEPARATOR = '|';
 const NAME_SEPARATOR = ' › ';
 
-function parseLine(line: string): KnownRed | null {
+function parseLine(line: string): KnownFailure | null {
   const columns = line.split(SEPARATOR).map((column) => column.trim());
   const [file, name] = (columns[0] ?? '').split(NAME_SEPARATOR);
-  const isWhole = columns.length === COLUMNS && columns.every((column) => column !== '');
-  return isWhole && file && name ? { line, file, name } : null;
+  const isComplete = columns.length === COLUMNS && columns.every((column) => column !== '');
+  return isComplete && file && name ? { line, file, name } : null;
 }
 
 /**
- * Reads the list.
+ * Parses `KNOWN-RED.txt`.
  *
- * @throws Error with every line that does not say all that it must.
+ * @throws Error that lists every malformed line.
  */
-export function parseKnownRed(text: string): readonly KnownRed[] {
+export function parseKnownFailures(text: string): readonly KnownFailure[] {
   const lines = text.split('\n').filter((line) => line.trim() !== '');
-  const unclear = lines.filter((line) => parseLine(line) === null);
-  if (unclear.length > 0) {
+  const malformed = lines.filter((line) => parseLine(line) === null);
+  if (malformed.length > 0) {
     const form = 'FILE › TEST | command and seed | what was seen | open issue';
-    throw new Error(`KNOWN-RED.txt: not of the form "${form}":\n${unclear.join('\n')}`);
+    throw new Error(`KNOWN-RED.txt: lines not of the form "${form}":\n${malformed.join('\n')}`);
   }
   return lines.flatMap((line) => parseLine(line) ?? []);
 }
 
-/** Tells failures that are listed from those that are not. */
-export function sortFailures(
+/** Partitions failures into listed and unlisted ones. */
+export function partitionFailures(
   failures: readonly TestFailure[],
-  entries: readonly KnownRed[],
+  entries: readonly KnownFailure[],
 ): SortedFailures {
   const isListed = ({ file, name }: TestFailure) =>
     entries.some((entry) => entry.file === file && entry.name === name);
@@ -59,14 +59,14 @@
 }
 
 /**
- * Whether a run passes: nothing failed, or just what is listed. A run that failed and names no test
- * was ended, or could not begin.
+ * Whether a run passes: no test failed, or only listed ones. A failing exit status without a failed
+ * test does not pass, because the run was aborted or could not start.
  */
 export function hasPassed(
   status: number | null,
   failures: readonly TestFailure[],
-  entries: readonly KnownRed[],
+  entries: readonly KnownFailure[],
 ): boolean {
   if (status === 0) return true;
-  return failures.length > 0 && sortFailures(failures, entries).unknown.length === 0;
+  return failures.length > 0 && partitionFailures(failures, entries).unknown.length === 0;
 }
--- a/scripts/mutations.mjs
+++ b/scripts/mutations.mjs
@@ -1,15 +1,15 @@
 /**
- * Plants faults, one at a time, in a copy of the workspace, and reports which test catches each.
- * A fault that no test catches ends it with exit 1. The workspace itself is never touched: a run
- * that is killed must not leave a fault behind.
+ * Mutation testing: applies the mutations of `mutations.json` one at a time to a copy of the
+ * workspace and reports which test catches each. Exits with 1 if a mutation is not caught. The
+ * workspace itself is never modified, so that a killed run cannot leave a mutation behind.
  */
 import { spawnSync } from 'node:child_process';
 import { cpSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
-const faults = JSON.parse(readFileSync('scripts/mutations.json', 'utf8'));
-const asked = process.argv.slice(2);
+const mutations = JSON.parse(readFileSync('scripts/mutations.json', 'utf8'));
+const requested = process.argv.slice(2);
 let missed = 0;
 
 const TEST_TIMEOUT_MS = 120_000;
@@ -32,15 +32,18 @@
 
 function firstFailure(output) {
   const names = [...output.matchAll(/^\s*not ok \d+ - (.*)$/gm)].map((match) => match[1].trim());
-  return names[0] ?? 'the run failed';
+  return names[0] ?? 'the test run failed';
 }
 
-/** Plants one fault; returns the line to report and whether it was caught. */
-function plant({ name, file: place, find, replace, tests }) {
-  const file = join(copy, place);
+/** Runs the tests with one mutation; returns the line to report and whether it was caught. */
+function testMutation({ name, file: path, find, replace, tests }) {
+  const file = join(copy, path);
   const original = readFileSync(file, 'utf8');
   if (original.split(find).length !== 2) {
-    return { isCaught: false, line: `STALE   ${name}: the place in ${place} is not found once` };
+    return {
+      isCaught: false,
+      line: `STALE   ${name}: the text to replace does not occur exactly once in ${path}`,
+    };
   }
   try {
     writeFileSync(
@@ -58,15 +61,15 @@
   }
 }
 
-const chosen = faults.filter(
-  ({ name }) => asked.length === 0 || asked.some((words) => name.includes(words)),
+const selected = mutations.filter(
+  ({ name }) => requested.length === 0 || requested.some((text) => name.includes(text)),
 );
-// A misspelt name must not look like a run in which everything was caught.
-if (chosen.length === 0) throw new Error(`no planted fault is named like ${asked.join(', ')}`);
-chosen.forEach((fault) => {
-  const { isCaught, line } = plant(fault);
+// A misspelt name must not look like a run in which every mutation was caught.
+if (selected.length === 0) throw new Error(`no mutation name contains ${requested.join(', ')}`);
+selected.forEach((mutation) => {
+  const { isCaught, line } = testMutation(mutation);
   if (!isCaught) missed += 1;
   process.stdout.write(`${line}\n`);
 });
-process.stdout.write(missed === 0 ? 'every planted fault is caught\n' : `${missed} not caught\n`);
+process.stdout.write(missed === 0 ? 'every mutation is caught\n' : `${missed} not caught\n`);
 process.exitCode = missed === 0 ? 0 : 1;
--- a/scripts/reference.ts
+++ b/scripts/reference.ts
@@ -1,4 +1,4 @@
-/** Writes the settings reference. */
+/** Generates the settings reference of the operator documentation. */
 import { writeFileSync } from 'node:fs';
 import { renderSettingsReference } from '@spoolplank/settings';
 
--- a/scripts/test.ts
+++ b/scripts/test.ts
@@ -1,16 +1,19 @@
-/** Runs all tests. Those that `KNOWN-RED.txt` lists run too and are printed; they fail no run. */
+/**
+ * Runs all tests. The known failures listed in `KNOWN-RED.txt` run too and are printed, but do not
+ * fail the run.
+ */
 import { spawnSync } from 'node:child_process';
 import { existsSync, mkdtempSync, readdirSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { hasPassed, parseKnownRed, sortFailures } from './knownRed';
+import { hasPassed, parseKnownFailures, partitionFailures } from './knownRed';
 import type { TestFailure } from './knownRed';
 
-const SPEC = /\.spec\.ts$/;
+const SPEC_FILE = /\.spec\.ts$/;
 
 function listSpecs(folder: string): readonly string[] {
   if (!existsSync(folder)) return [];
-  const names = readdirSync(folder).filter((name) => SPEC.test(name));
+  const names = readdirSync(folder).filter((name) => SPEC_FILE.test(name));
   return names.map((name) => join(folder, name));
 }
 
@@ -31,22 +34,22 @@
   return lines.filter((line) => line !== '').map((line) => JSON.parse(line) as TestFailure);
 }
 
-function print(label: string, failures: readonly TestFailure[]): void {
+function printFailures(label: string, failures: readonly TestFailure[]): void {
   failures.forEach(({ file, name }) => process.stdout.write(`${label}: ${file} › ${name}\n`));
 }
 
-const entries = parseKnownRed(readFileSync('KNOWN-RED.txt', 'utf8'));
+const entries = parseKnownFailures(readFileSync('KNOWN-RED.txt', 'utf8'));
 entries.forEach(({ line }) => process.stdout.write(`known red: ${line}\n`));
 
 const packages = readdirSync('packages').map((name) => join('packages', name));
 const folders = [...packages, 'platform', 'scripts'].map((name) => join(name, '__tests__'));
-const scratch = mkdtempSync(join(tmpdir(), 'spoolplank-test-'));
-const failureFile = join(scratch, 'failures');
+const tempFolder = mkdtempSync(join(tmpdir(), 'spoolplank-test-'));
+const failureFile = join(tempFolder, 'failures');
 const status = runSpecs(folders.flatMap(listSpecs), failureFile);
 const failures = readFailures(failureFile);
-rmSync(scratch, { recursive: true, force: true });
+rmSync(tempFolder, { recursive: true, force: true });
 
-const { known, unknown } = sortFailures(failures, entries);
-print('known red, failed', known);
-print('failed', unknown);
+const { known, unknown } = partitionFailures(failures, entries);
+printFailures('known red, failed', known);
+printFailures('failed', unknown);
 process.exit(hasPassed(status, failures, entries) ? 0 : 1);
