--- a/packages/bench/__tests__/fixtures.ts
+++ b/packages/bench/__tests__/fixtures.ts
@@ -39,7 +39,7 @@
     ...options,
   });
   try {
-    await deployment.waitUntilTaking();
+    await deployment.waitUntilReady();
     await deployment.setTree(createTree());
     return deployment;
   } catch (error) {
--- a/packages/bench/__tests__/golden.spec.ts
+++ b/packages/bench/__tests__/golden.spec.ts
@@ -2,15 +2,15 @@
 import { after, before, describe, it } from 'node:test';
 import { expectedAnswer } from '@spoolplank/fakes';
 import { chatPrompt } from '..';
-import { GOLDEN_SCENARIOS, readGolden, startGoldenBench } from '../src/golden';
-import type { GoldenBench } from '../src/golden';
+import { GOLDEN_SCENARIOS, readGolden, startGoldenEnvironment } from '../src/golden';
+import type { GoldenEnvironment } from '../src/golden';
 import { LAYERS } from './fixtures';
 
 describe('a whole session', () => {
-  let bench: GoldenBench;
+  let bench: GoldenEnvironment;
 
   before(async () => {
-    bench = await startGoldenBench();
+    bench = await startGoldenEnvironment();
   });
 
   after(() => bench.stop());
--- a/packages/bench/__tests__/path.spec.ts
+++ b/packages/bench/__tests__/path.spec.ts
@@ -4,7 +4,7 @@
 import { expectedAnswer } from '@spoolplank/fakes';
 import { callHttp, callJson, openCall, parseAddress } from '@spoolplank/node';
 import {
-  askAddresses,
+  fetchAddresses,
   callService,
   chatPrompt,
   streamCompletion,
@@ -130,7 +130,7 @@
   });
 
   it('names every entry VM that takes requests', async () => {
-    const { addresses, keepMs } = await askAddresses(address());
+    const { addresses, keepMs } = await fetchAddresses(address());
     assert.deepEqual(addresses.map((one) => one.address).sort(), [...deployment.addresses].sort());
     assert.ok(keepMs > 0);
   });
--- a/packages/bench/src/benches/config.ts
+++ b/packages/bench/src/benches/config.ts
@@ -94,7 +94,7 @@
   }));
   const hosts = startHosts(deployment.folder, settings);
   try {
-    await deployment.waitUntilTaking();
+    await deployment.waitUntilReady();
     const durationsMs: number[] = [];
     for (let version = 0; version <= CHANGES; version += 1) {
       const edits = [{ pointer: '/policy/maxInFlight', value: 100 + version }];
--- a/packages/bench/src/benches/recoveryControl.ts
+++ b/packages/bench/src/benches/recoveryControl.ts
@@ -37,7 +37,7 @@
       durationsMs.push(performance.now() - killedMs);
       version += 1;
       deployment.restart(leader);
-      await deployment.waitUntilTaking();
+      await deployment.waitUntilReady();
     }
     return durationsMs;
   });
--- a/packages/bench/src/benches/setting.ts
+++ b/packages/bench/src/benches/setting.ts
@@ -36,7 +36,7 @@
     ...options,
   });
   try {
-    await deployment.waitUntilTaking();
+    await deployment.waitUntilReady();
     await deployment.setTree(TREE);
     return await run(deployment);
   } finally {
--- a/packages/bench/src/caller.ts
+++ b/packages/bench/src/caller.ts
@@ -1,4 +1,4 @@
-/** A caller: asks for addresses, streams completions, calls services. */
+/** A minimal client: fetches addresses, streams completions and calls services. */
 import { createInterface } from 'node:readline';
 import { callHttp, callJson, createAgent, openCall, parseAddress } from '@spoolplank/node';
 import type { HttpAnswer } from '@spoolplank/node';
@@ -13,7 +13,7 @@
   readonly isWhole: boolean;
   readonly firstTokenMs: number;
   readonly durationMs: number;
-  /** Time between tokens. */
+  /** Times between consecutive tokens. */
   readonly gapsMs: readonly number[];
   readonly error: JsonValue;
 }
@@ -30,10 +30,10 @@
   readonly model: string;
   readonly prompt: string;
   readonly maxTokens: number;
-  /** Goes on after this event instead of beginning anew. */
+  /** Resumes the session after this event instead of starting a new one. */
   readonly lastEventId?: string;
   readonly onToken?: (position: number) => void;
-  /** Like `onToken`, with what the event holds. */
+  /** Like `onToken`, with the content of the event. */
   readonly onEvent?: (event: StreamEvent) => void;
 }
 
@@ -44,10 +44,10 @@
   readonly error?: JsonValue;
 }
 
-/** Streams a chat completion; an answer that breaks off is returned as far as it came. */
+/** Streams a chat completion; returns the received part if the connection breaks. */
 export async function streamCompletion(options: StreamOptions): Promise<StreamedAnswer> {
   const { address, token, model, prompt, maxTokens, lastEventId } = options;
-  const startedMs = performance.now();
+  const startedAtMs = performance.now();
   const response = await openCall({
     endpoint: parseAddress(address),
     method: 'POST',
@@ -73,14 +73,14 @@
   }
   const texts: string[] = [];
   const gapsMs: number[] = [];
-  let lastId = lastEventId ?? '';
-  let lastMs = startedMs;
+  let lastReceivedId = lastEventId ?? '';
+  let lastTokenAtMs = startedAtMs;
   let firstTokenMs = 0;
   let isWhole = false;
   let error: JsonValue = null;
   try {
     for await (const line of createInterface({ input: response })) {
-      if (line.startsWith('id: ')) lastId = line.slice(4);
+      if (line.startsWith('id: ')) lastReceivedId = line.slice(4);
       if (line === 'data: [DONE]') isWhole = true;
       else if (line.startsWith('data: ')) {
         const chunk = JSON.parse(line.slice(6)) as Chunk;
@@ -88,32 +88,32 @@
         const text = chunk.choices?.[0]?.delta?.content;
         if (text !== undefined) {
           const nowMs = performance.now();
-          if (texts.length === 0) firstTokenMs = nowMs - startedMs;
-          else gapsMs.push(nowMs - lastMs);
-          lastMs = nowMs;
+          if (texts.length === 0) firstTokenMs = nowMs - startedAtMs;
+          else gapsMs.push(nowMs - lastTokenAtMs);
+          lastTokenAtMs = nowMs;
           texts.push(text);
           options.onToken?.(texts.length - 1);
-          options.onEvent?.({ id: lastId, position: texts.length - 1, text });
+          options.onEvent?.({ id: lastReceivedId, position: texts.length - 1, text });
         }
       }
     }
   } catch {
-    // Broken off: what came is returned, and `isWhole` says so.
+    // The connection broke: the received part is returned with `isWhole` false.
   }
   return {
     text: texts.join(''),
     tokens: texts.length,
-    sessionId: lastId.split(':')[0] ?? '',
-    lastEventId: lastId,
+    sessionId: lastReceivedId.split(':')[0] ?? '',
+    lastEventId: lastReceivedId,
     isWhole,
     firstTokenMs,
-    durationMs: performance.now() - startedMs,
+    durationMs: performance.now() - startedAtMs,
     gapsMs,
     error,
   };
 }
 
-/** What the stand-in model is given for a chat prompt. */
+/** Returns the text that the fake model receives for a chat prompt. */
 export function chatPrompt(prompt: string): string {
   return `user: ${prompt}`;
 }
@@ -147,8 +147,8 @@
   readonly keepMs: number;
 }
 
-/** Asks an entry VM which addresses to use. */
-export async function askAddresses(address: string): Promise<Addresses> {
+/** Fetches the addresses that callers should use from an entry VM. */
+export async function fetchAddresses(address: string): Promise<Addresses> {
   const { json } = await callJson({
     endpoint: parseAddress(address),
     method: 'GET',
--- a/packages/bench/src/childProcess.ts
+++ b/packages/bench/src/childProcess.ts
@@ -1,4 +1,4 @@
-/** Starts the programs of a demo, a process test or a benchmark, and ends just those. */
+/** Starts the child processes of a demo, a process test or a benchmark, and ends only those. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { createWriteStream, existsSync, readFileSync } from 'node:fs';
@@ -10,9 +10,9 @@
   readonly logFile: string;
   readonly isRunning: boolean;
   signal(name: NodeJS.Signals): void;
-  /** Ends it and resolves with its exit code; null when a signal ended it. */
+  /** Ends the process and resolves with its exit code, or null if a signal ended it. */
   end(name?: NodeJS.Signals): Promise<number | null>;
-  /** Resolves when it has ended. */
+  /** Resolves when the process has ended. */
   readonly ended: Promise<number | null>;
   readLog(): string;
 }
@@ -21,24 +21,24 @@
   readonly command: string;
   readonly args: readonly string[];
   readonly logFile: string;
-  /** Called with each line on standard output. */
+  /** Called with each line of standard output. */
   readonly onLine?: (line: string) => void;
 }
 
-const live = new Set<ChildProcess>();
+const runningChildren = new Set<ChildProcess>();
 
-// Nothing that was started may outlive the script that started it.
-process.on('exit', () => live.forEach((child) => child.kill('SIGKILL')));
+// No child process may outlive the script that started it.
+process.on('exit', () => runningChildren.forEach((child) => child.kill('SIGKILL')));
 
 export function startProcess({ command, args, logFile, onLine }: StartOptions): ManagedProcess {
   const child = spawn(command, [...args], { stdio: ['ignore', 'pipe', 'pipe'] });
-  live.add(child);
+  runningChildren.add(child);
   const log = createWriteStream(logFile, { flags: 'a' });
   child.stderr.pipe(log, { end: false });
-  let rest = '';
+  let partialLine = '';
   child.stdout.on('data', (chunk: Buffer) => {
-    const lines = (rest + chunk.toString('utf8')).split('\n');
-    rest = lines.pop() ?? '';
+    const lines = (partialLine + chunk.toString('utf8')).split('\n');
+    partialLine = lines.pop() ?? '';
     lines.forEach((line) => onLine?.(line));
   });
   let isRunning = true;
@@ -46,7 +46,7 @@
     child.on('error', () => resolve(1));
     child.on('close', (code) => {
       isRunning = false;
-      live.delete(child);
+      runningChildren.delete(child);
       log.end(() => resolve(code));
     });
   });
@@ -68,9 +68,9 @@
   };
 }
 
-/** Below the range from which outgoing connections take their ports, so that none takes ours. */
+/** Below the ephemeral port range, so that no outgoing connection occupies a chosen port. */
 const PORT_RANGE = { from: 10_000, count: 20_000 };
-/** Keeps scripts that run side by side apart. */
+/** Spreads the first ports of concurrent scripts, whose process ids are close together. */
 const PORT_STRIDE = 97;
 
 let nextPort = (process.pid * PORT_STRIDE) % PORT_RANGE.count;
@@ -83,7 +83,7 @@
   });
 }
 
-/** Ports that are free now, each different. */
+/** Finds distinct ports that are free now. */
 export async function findFreePorts(count: number): Promise<readonly number[]> {
   const ports: number[] = [];
   while (ports.length < count) {
@@ -95,23 +95,24 @@
 }
 
 /**
- * Waits until a condition holds.
+ * Polls until a condition holds; a condition that throws counts as false.
  *
- * @throws Error that names what was waited for.
+ * @throws Error that names the condition, after the timeout.
  */
 export async function waitUntil(
-  what: string,
+  description: string,
   condition: () => Promise<boolean> | boolean,
   {
-    withinMs = 20_000,
-    everyMs = 20,
+    withinMs: timeoutMs = 20_000,
+    everyMs: intervalMs = 20,
   }: { readonly withinMs?: number; readonly everyMs?: number } = {},
 ): Promise<void> {
-  const untilMs = performance.now() + withinMs;
+  const deadlineAtMs = performance.now() + timeoutMs;
   for (;;) {
     const holds = await Promise.resolve(condition()).catch(() => false);
     if (holds) return;
-    if (performance.now() > untilMs) throw new Error(`waited ${withinMs} ms in vain until ${what}`);
-    await delay(everyMs);
+    if (performance.now() > deadlineAtMs)
+      throw new Error(`waited ${timeoutMs} ms in vain until ${description}`);
+    await delay(intervalMs);
   }
 }
--- a/packages/bench/src/demo.ts
+++ b/packages/bench/src/demo.ts
@@ -1,8 +1,8 @@
-/** The demo: a small deployment, one streamed answer, one call, one change of the settings. */
+/** The demo: a small deployment, one streamed answer, one service call, one settings change. */
 import { expectedAnswer } from '@spoolplank/fakes';
 import { digestToken } from '@spoolplank/node';
 import type { SettingsTree } from '@spoolplank/settings';
-import { askAddresses, callService, chatPrompt, streamCompletion } from './caller';
+import { fetchAddresses, callService, chatPrompt, streamCompletion } from './caller';
 import { waitUntil } from './childProcess';
 import { planVms, startDeployment } from './deployment';
 import type { Deployment } from './deployment';
@@ -28,7 +28,7 @@
   },
 };
 
-/** Three engines of unlike speed that hold the model together. */
+/** Three engines of different speeds that each hold a part of the model's layers. */
 const ENGINES = [
   {
     name: 'engine-a',
@@ -53,17 +53,17 @@
   },
 ] as const;
 
-function say(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-function assertThat(holds: boolean, what: string): void {
+function check(holds: boolean, what: string): void {
   if (!holds) throw new Error(`the demo failed: ${what}`);
-  say(`  ok: ${what}`);
+  printLine(`  ok: ${what}`);
 }
 
-async function prepare(deployment: Deployment): Promise<void> {
-  await deployment.waitUntilTaking();
+async function startBackends(deployment: Deployment): Promise<void> {
+  await deployment.waitUntilReady();
   await deployment.setTree(TREE);
   await Promise.all(
     ENGINES.map((engine) =>
@@ -78,18 +78,20 @@
   await deployment.startService({ name: 'service-1', service: SERVICE, dataCentre: 'south' });
 }
 
-async function startAll(): Promise<Deployment> {
-  say('Starting 3 control VMs and 2 entry VMs, 3 engines of unlike speed, and 1 service ...');
+async function startDemoDeployment(): Promise<Deployment> {
+  printLine(
+    'Starting 3 control VMs and 2 entry VMs, 3 engines of different speeds, and 1 service ...',
+  );
   const deployment = await startDeployment({ vms: planVms(3, 2, ['north', 'south']) });
-  await prepare(deployment).catch(async (error: unknown) => {
+  await startBackends(deployment).catch(async (error: unknown) => {
     await deployment.stop();
     throw error;
   });
   return deployment;
 }
 
-async function showAnswer(address: string): Promise<void> {
-  say(`\nStreaming an answer through ${address}:`);
+async function demonstrateStream(address: string): Promise<void> {
+  printLine(`\nStreaming an answer through ${address}:`);
   process.stdout.write('  ');
   const answer = await streamCompletion({
     address,
@@ -98,19 +100,21 @@
     prompt: PROMPT,
     maxTokens: MAX_TOKENS,
   });
-  say(answer.text.trim());
+  printLine(answer.text.trim());
   const expected = expectedAnswer(chatPrompt(PROMPT), LAYERS, MAX_TOKENS);
-  assertThat(
+  check(
     answer.isWhole && answer.text === expected,
-    `the answer is whole and correct, all ${MAX_TOKENS} tokens through ${LAYERS} layers`,
+    `the answer is complete and correct, all ${MAX_TOKENS} tokens through ${LAYERS} layers`,
   );
-  say(
-    `  first token after ${answer.firstTokenMs.toFixed(0)} ms, whole after ${answer.durationMs.toFixed(0)} ms`,
+  printLine(
+    `  first token after ${answer.firstTokenMs.toFixed(0)} ms, complete after ${answer.durationMs.toFixed(0)} ms`,
   );
 }
 
-async function showCall(deployment: Deployment, address: string): Promise<void> {
-  say('\nCalling a service that must not run twice, twice with one key, through two VMs:');
+async function demonstrateIdempotentCall(deployment: Deployment, address: string): Promise<void> {
+  printLine(
+    '\nCalling a non-repeatable service twice with the same idempotency key, through two VMs:',
+  );
   const call = {
     token: CALLER_TOKEN,
     service: SERVICE,
@@ -121,13 +125,16 @@
   const first = await callService({ ...call, address });
   const other = deployment.addresses.find((candidate) => candidate !== address) ?? address;
   const second = await callService({ ...call, address: other });
-  assertThat(first.status === 200, 'the first call was answered');
-  assertThat(second.body.equals(first.body), 'the second call got the same answer');
-  assertThat(second.headers['spoolplank-replayed'] === 'true', 'and was not run again');
+  check(first.status === 200, 'the first call was answered');
+  check(second.body.equals(first.body), 'the second call got the same answer');
+  check(
+    second.headers['spoolplank-replayed'] === 'true',
+    'the second call was replayed, not executed',
+  );
 }
 
-async function showChange(deployment: Deployment): Promise<void> {
-  say('\nAn operator changes a limit:');
+async function demonstrateSettingsChange(deployment: Deployment): Promise<void> {
+  printLine('\nChanging a limit as an operator:');
   const args = [
     'config',
     'set',
@@ -138,20 +145,20 @@
     '--wait',
   ];
   const { code, output } = await deployment.command(args);
-  say(output.replaceAll(/^/gm, '  '));
-  assertThat(code === 0, 'the change was accepted and is in force on every VM');
+  printLine(output.replaceAll(/^/gm, '  '));
+  check(code === 0, 'the change was accepted and is in force on every VM');
   for (const { vmId } of deployment.vms) {
     const reply = await deployment.operatorGet(
       vmId,
       '/v1/config?pointer=/organisations/kalahari&effective=true',
     );
     const { maxInFlight } = (reply as { value: { maxInFlight: number } }).value;
-    assertThat(maxInFlight === 7, `${vmId} has maxInFlight ${maxInFlight}`);
+    check(maxInFlight === 7, `${vmId} has maxInFlight ${maxInFlight}`);
   }
 }
 
 async function main(): Promise<void> {
-  const deployment = await startAll();
+  const deployment = await startDemoDeployment();
   try {
     const [first = ''] = deployment.addresses;
     await waitUntil('every VM knows the engines and the service', async () => {
@@ -164,16 +171,16 @@
           ENGINES.length + 1,
       );
     });
-    const { addresses, keepMs } = await askAddresses(first);
-    say(`\nA caller asks ${first} for addresses and may keep the answer for ${keepMs} ms:`);
-    addresses.forEach(({ address, weight }) => say(`  ${address}  weight ${weight}`));
+    const { addresses, keepMs } = await fetchAddresses(first);
+    printLine(`\nAddresses from ${first}, which a caller may cache for ${keepMs} ms:`);
+    addresses.forEach(({ address, weight }) => printLine(`  ${address}  weight ${weight}`));
     const chosen = addresses[0]?.address ?? first;
-    await showAnswer(chosen);
-    await showCall(deployment, chosen);
-    await showChange(deployment);
+    await demonstrateStream(chosen);
+    await demonstrateIdempotentCall(deployment, chosen);
+    await demonstrateSettingsChange(deployment);
     const { output } = await deployment.command(['status'], 'vm5');
-    say(`\nspoolplank status:\n${output.replaceAll(/^/gm, '  ')}`);
-    say('\nThe demo ended well.');
+    printLine(`\nspoolplank status:\n${output.replaceAll(/^/gm, '  ')}`);
+    printLine('\nThe demo completed successfully.');
   } finally {
     await deployment.stop();
   }
--- a/packages/bench/src/deployment.ts
+++ b/packages/bench/src/deployment.ts
@@ -1,4 +1,4 @@
-/** A deployment on this machine: VMs and stand-ins, each a process of its own. */
+/** A deployment on this machine, with each VM and each fake in its own process. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join, resolve } from 'node:path';
@@ -22,9 +22,9 @@
 export interface DeploymentOptions {
   readonly vms: readonly VmPlan[];
   readonly timings?: Partial<Timings>;
-  /** Changes the settings of a VM before it starts, say to lead peers over a cuttable link. */
+  /** Adjusts the settings of each VM before it starts. */
   readonly adjust?: (settings: VmSettings) => VmSettings;
-  /** The same for all VMs together, where it takes time. */
+  /** Adjusts the settings of all VMs together, for example to route peers through a proxy. */
   readonly adjustAll?: (settings: readonly VmSettings[]) => Promise<readonly VmSettings[]>;
 }
 
@@ -42,7 +42,7 @@
   readonly vms: readonly DeployedVm[];
   readonly addresses: readonly string[];
   vm(vmId: string): DeployedVm;
-  /** Starts a VM that was ended. */
+  /** Starts a VM again whose process has ended. */
   restart(vmId: string): void;
   startEngine(
     options: Partial<FakeEngineOptions> & { readonly name: string },
@@ -50,22 +50,22 @@
   startService(
     options: Partial<FakeServiceOptions> & { readonly name: string },
   ): Promise<RunningFake>;
-  /** Runs the command line of the product and resolves with what it printed. */
+  /** Runs the product's command line and resolves with its exit code and output. */
   command(
     args: readonly string[],
     vmId?: string,
   ): Promise<{ readonly code: number | null; readonly output: string; readonly errors: string }>;
   operatorGet(vmId: string, path: string): Promise<JsonValue>;
-  /** The text of an answer that is not JSON, such as the metrics. */
+  /** Fetches a response that is not JSON, such as the metrics. */
   operatorText(vmId: string, path: string): Promise<string>;
   operatorPost(
     vmId: string,
     path: string,
     json: JsonValue,
   ): Promise<{ readonly status: number; readonly json: JsonValue }>;
-  /** Resolves when every running VM takes requests. */
-  waitUntilTaking(): Promise<void>;
-  /** Puts a tree in force on every VM. */
+  /** Resolves when every running VM accepts requests. */
+  waitUntilReady(): Promise<void>;
+  /** Replaces the settings tree; resolves with its version when every running VM has it. */
   setTree(tree: SettingsTree): Promise<number>;
   stop(): Promise<void>;
 }
@@ -111,7 +111,7 @@
     peerPort: ports[index * 2 + 1] ?? 0,
   }));
   const fakes: RunningFake[] = [];
-  let commands = 0;
+  let commandCount = 0;
 
   function createSettings(address: VmAddress): VmSettings {
     const settings: VmSettings = {
@@ -154,7 +154,7 @@
 
   function vm(vmId: string): DeployedVm {
     const found = vms.find((candidate) => candidate.vmId === vmId);
-    if (!found) throw new Error(`there is no VM ${vmId}`);
+    if (!found) throw new Error(`the deployment has no VM ${vmId}`);
     return found;
   }
 
@@ -169,28 +169,31 @@
     });
   }
 
-  async function startFake(kind: string, given: { readonly name: string }): Promise<RunningFake> {
+  async function startFake(
+    kind: string,
+    overrides: { readonly name: string },
+  ): Promise<RunningFake> {
     const text = JSON.stringify({
       addresses: vms.map(({ callerAddress }) => callerAddress),
       token: BACKEND_SERVER_TOKEN,
-      ...given,
+      ...overrides,
     });
     let port = 0;
     const started = startProcess({
       command: process.execPath,
       args: [FAKES_PROGRAM, kind, text],
-      logFile: join(folder, `${given.name}.log`),
+      logFile: join(folder, `${overrides.name}.log`),
       onLine(line) {
         ({ port } = JSON.parse(line) as { port: number });
       },
     });
-    await waitUntil(`${given.name} has started`, () => port > 0);
-    const fake = createFake(given.name, port, started);
+    await waitUntil(`${overrides.name} has started`, () => port > 0);
+    const fake = createFake(overrides.name, port, started);
     fakes.push(fake);
     return fake;
   }
 
-  async function isTaking({ address }: DeployedVm): Promise<boolean> {
+  async function isReady({ address }: DeployedVm): Promise<boolean> {
     const { status } = await callJson({
       endpoint: { host: HOST, port: address.callerPort },
       method: 'GET',
@@ -212,7 +215,7 @@
     startEngine: (given) => startFake('engine', given),
     startService: (given) => startFake('service', given),
     async command(args, vmId) {
-      commands += 1;
+      commandCount += 1;
       const lines: string[] = [];
       const chosen =
         vmId === undefined
@@ -223,7 +226,7 @@
       const started = startProcess({
         command: PROGRAM,
         args: [...args, '--address', chosen, '--token-file', tokenFile],
-        logFile: join(folder, `command-${commands}.log`),
+        logFile: join(folder, `command-${commandCount}.log`),
         onLine: (line) => lines.push(line),
       });
       const code = await started.ended;
@@ -240,14 +243,14 @@
       return answer.body.toString('utf8');
     },
     operatorPost: (vmId, path, json) => callOperator(vmId, 'POST', path, json),
-    async waitUntilTaking() {
+    async waitUntilReady() {
       for (const candidate of vms.filter(({ process: { isRunning } }) => isRunning)) {
-        await waitUntil(`${candidate.vmId} takes requests`, () => isTaking(candidate));
+        await waitUntil(`${candidate.vmId} takes requests`, () => isReady(candidate));
       }
     },
     async setTree(tree) {
       const [first] = vms;
-      if (!first) throw new Error('there is no VM');
+      if (!first) throw new Error('the deployment has no VM');
       const { version: baseVersion } = (await callOperator(first.vmId, 'GET', '/v1/config'))
         .json as { version: number };
       const edits = [{ pointer: '', value: tree as unknown as JsonValue }];
@@ -256,7 +259,7 @@
         edits,
       });
       const { version } = json as { version: number };
-      if (status !== 200) throw new Error(`the tree was refused: ${JSON.stringify(json)}`);
+      if (status !== 200) throw new Error(`the settings tree was refused: ${JSON.stringify(json)}`);
       for (const candidate of vms.filter(({ process: { isRunning } }) => isRunning)) {
         await waitUntil(`${candidate.vmId} has version ${version}`, async () => {
           const reply = (await callOperator(candidate.vmId, 'GET', '/v1/config')).json as {
@@ -274,7 +277,7 @@
   };
 }
 
-/** Plans VMs in data centres by turns, the first ones with the role control. */
+/** Plans VMs round-robin over the data centres; the first ones also have the role control. */
 export function planVms(
   controls: number,
   entries: number,
--- a/packages/bench/src/golden.ts
+++ b/packages/bench/src/golden.ts
@@ -1,4 +1,4 @@
-/** Whole sessions, recorded as text that can be kept in a file and compared. */
+/** Golden sessions: complete sessions recorded as text and compared with files. */
 import { existsSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { digestToken } from '@spoolplank/node';
@@ -11,11 +11,11 @@
 const LAYERS = 12;
 const PARTS = 3;
 const COPIES = 2;
-const FAULT_AT = 12;
+const FAULT_POSITION = 12;
 const TOKEN = 'token-of-the-golden-sessions';
 const FOLDER = join('packages', 'bench', '__tests__', 'golden');
 
-/** What goes wrong while a session runs. */
+/** Fault that is injected while a session runs. */
 export type GoldenFault = 'none' | 'engine-killed';
 
 interface StreamScenario {
@@ -33,7 +33,7 @@
 
 export type GoldenScenario = StreamScenario | CallScenario;
 
-/** The sessions that the users named. */
+/** One session for each workload that the users named. */
 export const GOLDEN_SCENARIOS: Readonly<Record<string, GoldenScenario>> = {
   quotation: {
     kind: 'stream',
@@ -68,7 +68,7 @@
   },
 };
 
-export interface GoldenBench {
+export interface GoldenEnvironment {
   readonly deployment: Deployment;
   record(name: string, fault: GoldenFault): Promise<string>;
   stop(): Promise<void>;
@@ -78,7 +78,7 @@
   return join(FOLDER, `${name}.txt`);
 }
 
-/** The recorded session; empty when there is none yet. */
+/** Reads a recorded session; returns an empty text if there is none. */
 export function readGolden(name: string): string {
   const file = goldenFile(name);
   return existsSync(file) ? readFileSync(file, 'utf8') : '';
@@ -97,20 +97,22 @@
   return Promise.all(plans.map((plan) => deployment.startEngine(plan)));
 }
 
-async function killBusiest(engines: readonly RunningFake[]): Promise<void> {
+async function killBusiestEngine(engines: readonly RunningFake[]): Promise<void> {
   const partOf = ({ name }: RunningFake) => name.split('-')[1];
   const alive = engines.filter(({ process }) => process.isRunning);
-  // Never the last one that holds its layers.
-  const running = alive.filter(
+  // The last engine that holds a range of layers is never killed.
+  const candidates = alive.filter(
     (engine) => alive.filter((other) => partOf(other) === partOf(engine)).length > 1,
   );
   const sessions = await Promise.all(
-    running.map(async (engine) => ((await engine.get('/totals')) as { sessions: number }).sessions),
+    candidates.map(
+      async (engine) => ((await engine.get('/totals')) as { sessions: number }).sessions,
+    ),
   );
-  running[sessions.indexOf(Math.max(...sessions))]?.process.signal('SIGKILL');
+  candidates[sessions.indexOf(Math.max(...sessions))]?.process.signal('SIGKILL');
 }
 
-/** One line an event; the session's id differs from run to run and is left out. */
+/** Records a stream as text; the session id differs between runs and is replaced. */
 async function recordStream(
   address: string,
   { prompt, maxTokens }: StreamScenario,
@@ -154,10 +156,10 @@
   return `request: POST ${path} ${body}\nanswer: ${describe(first)}\nsent again: ${describe(again)}\n`;
 }
 
-/** Starts what the sessions run on: 3 VMs, two engines for each part of the model, a service. */
-export async function startGoldenBench(): Promise<GoldenBench> {
+/** Starts the deployment for golden sessions: 3 VMs, two engines per layer range, a service. */
+export async function startGoldenEnvironment(): Promise<GoldenEnvironment> {
   const deployment = await startDeployment({ vms: planVms(1, 2, ['dc1']) });
-  await deployment.waitUntilTaking();
+  await deployment.waitUntilReady();
   await deployment.setTree(TREE);
   const engines = await startEngines(deployment);
   await deployment.startService({
@@ -175,10 +177,11 @@
     deployment,
     async record(name, fault) {
       const scenario = GOLDEN_SCENARIOS[name];
-      if (!scenario) throw new Error(`there is no scenario ${name}`);
+      if (!scenario) throw new Error(`unknown golden scenario ${name}`);
       if (scenario.kind === 'call') return recordCall(deployment.addresses.slice(1), scenario);
       return recordStream(deployment.addresses[1] ?? '', scenario, (position) => {
-        if (fault === 'engine-killed' && position === FAULT_AT) void killBusiest(engines);
+        if (fault === 'engine-killed' && position === FAULT_POSITION)
+          void killBusiestEngine(engines);
       });
     },
     stop: () => deployment.stop(),
--- a/packages/bench/src/goldenMain.ts
+++ b/packages/bench/src/goldenMain.ts
@@ -1,6 +1,6 @@
-/** `npm run golden`: shows how sessions differ from their files; `-- --update` writes them. */
+/** `npm run golden`: compares sessions with the golden files; `-- --update` rewrites these. */
 import { writeFileSync } from 'node:fs';
-import { GOLDEN_SCENARIOS, goldenFile, readGolden, startGoldenBench } from './golden';
+import { GOLDEN_SCENARIOS, goldenFile, readGolden, startGoldenEnvironment } from './golden';
 
 function describeDifference(before: string, after: string): string {
   const oldLines = before.split('\n');
@@ -14,23 +14,25 @@
 
 async function main(): Promise<number> {
   const shouldUpdate = process.argv.includes('--update');
-  const bench = await startGoldenBench();
-  let different = 0;
+  const environment = await startGoldenEnvironment();
+  let differingCount = 0;
   try {
     for (const name of Object.keys(GOLDEN_SCENARIOS)) {
-      const recorded = await bench.record(name, 'none');
+      const recorded = await environment.record(name, 'none');
       const golden = readGolden(name);
       if (recorded !== golden) {
-        different += 1;
+        differingCount += 1;
         process.stdout.write(`${name} differs:\n${describeDifference(golden, recorded)}\n`);
         if (shouldUpdate) writeFileSync(goldenFile(name), recorded);
       }
     }
   } finally {
-    await bench.stop();
+    await environment.stop();
   }
-  process.stdout.write(`${different} of ${Object.keys(GOLDEN_SCENARIOS).length} sessions differ\n`);
-  return different > 0 && !shouldUpdate ? 1 : 0;
+  process.stdout.write(
+    `${differingCount} of ${Object.keys(GOLDEN_SCENARIOS).length} sessions differ\n`,
+  );
+  return differingCount > 0 && !shouldUpdate ? 1 : 0;
 }
 
 main()
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run --silent bench -- NAME [NAME ...]`: one JSON line a figure; exit 1 past a bound.
- * `--store` keeps the figures as the baseline.
+ * `npm run --silent bench -- NAME [NAME ...]`: prints one JSON line per figure; exits with 1 if a
+ * figure exceeds its bound. `--store` saves the figures as the baseline.
  */
 import { claimsBench } from './benches/claims';
 import { configBench } from './benches/config';
@@ -14,7 +14,7 @@
 import { stateBench } from './benches/state';
 import { thinBench } from './benches/thin';
 import { throughputBench } from './benches/throughput';
-import { judge, readBaselines, storeBaselines } from './figures';
+import { evaluate, readBaselines, storeBaselines } from './figures';
 import type { Bench } from './figures';
 
 const BENCHES: Readonly<Record<string, Bench>> = {
@@ -32,31 +32,31 @@
   state: stateBench,
 };
 
-/** Keeps the figures of this run as the ones that later runs are compared with. */
+/** Saves the figures of this run as the baseline for later runs. */
 const STORE_FLAG = '--store';
 
 async function main(): Promise<number> {
   const shouldStore = process.argv.includes(STORE_FLAG);
-  const asked = process.argv.slice(2).filter((arg) => arg !== STORE_FLAG);
-  const names = asked.includes('all') ? Object.keys(BENCHES) : asked;
+  const requested = process.argv.slice(2).filter((arg) => arg !== STORE_FLAG);
+  const names = requested.includes('all') ? Object.keys(BENCHES) : requested;
   const unknown = names.filter((name) => !Object.hasOwn(BENCHES, name));
   if (names.length === 0 || unknown.length > 0) {
-    const known = [...Object.keys(BENCHES), 'all'].join(', ');
+    const validNames = [...Object.keys(BENCHES), 'all'].join(', ');
     process.stderr.write(
-      `unknown benchmark: ${unknown.join(', ') || 'none given'}; one of ${known}\n`,
+      `unknown benchmark: ${unknown.join(', ') || 'none given'}; one of ${validNames}\n`,
     );
     return 2;
   }
   const baselines = readBaselines();
-  const verdicts: boolean[] = [];
+  const results: boolean[] = [];
   for (const name of names) {
     const figures = (await BENCHES[name]?.()) ?? [];
-    const judged = figures.map((figure) => judge(name, figure, baselines));
-    judged.forEach((figure) => process.stdout.write(`${JSON.stringify(figure)}\n`));
-    verdicts.push(judged.every(({ ok }) => ok));
-    if (shouldStore) storeBaselines(judged);
+    const evaluated = figures.map((figure) => evaluate(name, figure, baselines));
+    evaluated.forEach((figure) => process.stdout.write(`${JSON.stringify(figure)}\n`));
+    results.push(evaluated.every(({ ok }) => ok));
+    if (shouldStore) storeBaselines(evaluated);
   }
-  return verdicts.every((ok) => ok) ? 0 : 1;
+  return results.every((ok) => ok) ? 0 : 1;
 }
 
 main()
--- a/packages/bench/src/observe.ts
+++ b/packages/bench/src/observe.ts
@@ -1,8 +1,8 @@
-/** What a deployment says of itself, for those who wait for it. */
+/** Reads the state of a deployment and waits for expected states. */
 import { waitUntil } from './childProcess';
 import type { Deployment } from './deployment';
 
-/** What a control VM reports of its replica. */
+/** The control part of a VM's dump. */
 export interface ControlDump {
   readonly settingsVersion: number;
   readonly replica: {
@@ -13,7 +13,7 @@
   } | null;
 }
 
-/** The control part of a VM's dump; null when it has not the role. */
+/** Fetches the control part of a VM's dump; null if the VM does not have the control role. */
 export async function dumpControl(
   deployment: Deployment,
   vmId: string,
@@ -24,7 +24,7 @@
   return dump.control;
 }
 
-/** The control VM that leads, as it says itself. */
+/** Waits for a control VM that reports itself as the leader with a valid lease. */
 export async function findLeader(deployment: Deployment): Promise<string> {
   let leader = '';
   await waitUntil('there is a leader', async () => {
@@ -39,9 +39,9 @@
   return leader;
 }
 
-/** Resolves when every running VM sees that many live backend servers. */
+/** Resolves when every running VM lists exactly `count` ready backend servers. */
 export async function waitForBackendServers(deployment: Deployment, count: number): Promise<void> {
-  const knowsAll = async (vmId: string) => {
+  const seesAll = async (vmId: string) => {
     const status = (await deployment.operatorGet(vmId, '/v1/status')) as {
       backendServers: readonly { state: string }[];
     };
@@ -50,7 +50,7 @@
   const running = deployment.vms.filter(({ process }) => process.isRunning);
   await Promise.all(
     running.map(({ vmId }) =>
-      waitUntil(`${vmId} knows ${count} backend servers`, () => knowsAll(vmId)),
+      waitUntil(`${vmId} knows ${count} backend servers`, () => seesAll(vmId)),
     ),
   );
 }
--- a/packages/bench/src/statistics.ts
+++ b/packages/bench/src/statistics.ts
@@ -1,10 +1,11 @@
-/** Percentiles of what a benchmark measured. */
+/** Statistics over benchmark measurements. */
 import { build } from 'hdr-histogram-js';
 
+/** The histogram stores integers; values keep three decimal places. */
 const SCALE = 1000;
 
-/** The value below which a share of the values lies; 0 when there are none. */
-export function percentile(values: readonly number[], share: number): number {
+/** The value below which the given fraction of the values lies; 0 for no values. */
+export function percentile(values: readonly number[], fraction: number): number {
   if (values.length === 0) return 0;
   const histogram = build({
     lowestDiscernibleValue: 1,
@@ -12,14 +13,14 @@
     numberOfSignificantValueDigits: 3,
   });
   values.forEach((value) => histogram.recordValue(Math.max(1, Math.round(value * SCALE))));
-  return histogram.getValueAtPercentile(share * 100) / SCALE;
+  return histogram.getValueAtPercentile(fraction * 100) / SCALE;
 }
 
 export function mean(values: readonly number[]): number {
   return values.length === 0 ? 0 : values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Slope and intercept of the line through points, by least squares. */
+/** Fits a line through points by least squares. */
 export function fitLine(points: readonly { readonly x: number; readonly y: number }[]): {
   readonly slope: number;
   readonly intercept: number;
