--- a/packages/bench/src/benches/setting.ts
+++ b/packages/bench/src/benches/benchDeployment.ts
@@ -1,4 +1,4 @@
-/** What several benchmarks set up alike. */
+/** The deployment that the benchmarks share: its settings, its engines and its metrics. */
 import type { FakeEngineOptions } from '@spoolplank/fakes';
 import { digestToken } from '@spoolplank/node';
 import type { SettingsTree } from '@spoolplank/settings';
@@ -24,7 +24,7 @@
   },
 };
 
-/** Runs with a deployment that takes requests, and stops it in the end. */
+/** Runs a function with a deployment that accepts requests, and stops the deployment afterwards. */
 export async function withDeployment<Result>(
   controls: number,
   entries: number,
@@ -44,7 +44,7 @@
   }
 }
 
-/** Engines that hold the model in equal parts, several of each part. */
+/** Plans engines that split the model's layers into equal parts, with `copies` engines per part. */
 export function planEngines(
   parts: number,
   copies: number,
@@ -64,7 +64,7 @@
   });
 }
 
-/** Reads a metric of a VM; 0 when it has none of that name. */
+/** Reads a metric of a VM; 0 if the VM does not export it. */
 export async function readMetric(
   deployment: Deployment,
   vmId: string,
--- a/packages/bench/src/benches/claims.ts
+++ b/packages/bench/src/benches/claims.ts
@@ -1,4 +1,4 @@
-/** What a claim costs: against none, and one sync for many against one sync each. */
+/** Cost of a claim: a request with against one without, and grouped against single disk syncs. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -11,7 +11,7 @@
 import type { Figure } from '../figures';
 import { percentile } from '../statistics';
 import { waitForBackendServers } from '../observe';
-import { BENCH_SERVICE, BENCH_TOKEN, withDeployment } from './setting';
+import { BENCH_SERVICE, BENCH_TOKEN, withDeployment } from './benchDeployment';
 
 const CLAIMS = 4000;
 const CLAIMS_ONE_BY_ONE = 300;
@@ -20,25 +20,26 @@
 const LOADED_CALLS = 3000;
 const LOADED_CONCURRENCY = 64;
 
-async function runWorkers(
+/** Runs a task `count` times in concurrent workers; returns the executions per second. */
+async function measureRate(
   count: number,
   workers: number,
-  run: (index: number) => Promise<unknown>,
+  task: (index: number) => Promise<unknown>,
 ): Promise<number> {
   let next = 0;
   const startedMs = performance.now();
   const worker = async () => {
     while (next < count) {
       next += 1;
-      await run(next);
+      await task(next);
     }
   };
   await Promise.all(Array.from({ length: workers }, worker));
   return (count / (performance.now() - startedMs)) * 1000;
 }
 
-/** Claims a second of one replica on a real disk. */
-async function measureLog(): Promise<{
+/** Claims per second of one replica on a real disk. */
+async function measureLogClaims(): Promise<{
   readonly groupedPerS: number;
   readonly singlePerS: number;
 }> {
@@ -72,15 +73,15 @@
       retentionMs: 86_400_000,
       logTimeMs: 0,
     });
-  const groupedPerS = await runWorkers(CLAIMS, CONCURRENCY, (index) => claim(`grouped-${index}`));
-  const singlePerS = await runWorkers(CLAIMS_ONE_BY_ONE, 1, (index) => claim(`single-${index}`));
+  const groupedPerS = await measureRate(CLAIMS, CONCURRENCY, (index) => claim(`grouped-${index}`));
+  const singlePerS = await measureRate(CLAIMS_ONE_BY_ONE, 1, (index) => claim(`single-${index}`));
   await runner.stop();
   rmSync(folder, { recursive: true });
   return { groupedPerS, singlePerS };
 }
 
 export async function claimsBench(): Promise<readonly Figure[]> {
-  const { groupedPerS, singlePerS } = await measureLog();
+  const { groupedPerS, singlePerS } = await measureLogClaims();
   return withDeployment(3, 1, async (deployment) => {
     await deployment.startService({
       name: 'service-1',
@@ -90,8 +91,8 @@
     });
     await waitForBackendServers(deployment, 1);
     const address = deployment.addresses[3] ?? '';
-    const call = async (key: string, isClaimed: boolean) => {
-      const headers = { 'idempotency-key': key, 'spoolplank-repeatable': String(!isClaimed) };
+    const call = async (key: string, needsClaim: boolean) => {
+      const headers = { 'idempotency-key': key, 'spoolplank-repeatable': String(!needsClaim) };
       const startedMs = performance.now();
       const { status } = await callService({
         address,
@@ -109,7 +110,7 @@
       claimedMs.push(await call(`claimed-${index}`, true));
     }
     const loadedMs: number[] = [];
-    const loadedPerS = await runWorkers(LOADED_CALLS, LOADED_CONCURRENCY, async (index) => {
+    const loadedPerS = await measureRate(LOADED_CALLS, LOADED_CONCURRENCY, async (index) => {
       loadedMs.push(await call(`loaded-${index}`, true));
     });
     return [
--- a/packages/bench/src/benches/config.ts
+++ b/packages/bench/src/benches/config.ts
@@ -1,4 +1,4 @@
-/** How long an accepted change takes to be in force on every entry VM, against their number. */
+/** Time until an accepted settings change is in force on every entry VM, by the number of VMs. */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { delay, digestToken } from '@spoolplank/node';
@@ -17,14 +17,14 @@
 const SIZES = [11, 50, 150] as const;
 const CHANGES = 25;
 const POLL_MS = 1;
-/** So that each change finds the VMs waiting, as at 10,000 a day. */
-const PAUSE_MS = 150;
+/** Pause after a change, so that all VMs wait for the next one, as at 10,000 changes a day. */
+const CHANGE_INTERVAL_MS = 150;
 const ENTRIES_PER_HOST = 25;
 const HOST_PROGRAM = join('packages', 'bench', 'src', 'benches', 'entryHost.ts');
-const BUDGET_MS = 4000;
-const NODES_AT_SIZE = 3600;
+const MAX_PROPAGATION_MS = 4000;
+const TARGET_ENTRIES = 3600;
 
-interface Reach {
+interface Propagation {
   readonly entries: number;
   readonly durationsMs: readonly number[];
 }
@@ -41,31 +41,31 @@
   }));
 }
 
-/** Entry VMs in processes of their own, several in each; resolves when all have a version. */
+/** Entry VMs in child processes, several per process. */
 interface EntryHosts {
   waitForVersion(version: number): Promise<void>;
   stop(): Promise<void>;
 }
 
-function startHosts(folder: string, settings: readonly VmSettings[]): EntryHosts {
+function startEntryHosts(folder: string, settings: readonly VmSettings[]): EntryHosts {
   const count = Math.ceil(settings.length / ENTRIES_PER_HOST);
-  const reached = new Array<number>(count).fill(0);
-  const hosts = reached.map((_version, host) => {
+  const versions = new Array<number>(count).fill(0);
+  const hosts = versions.map((_version, host) => {
     const file = join(folder, `host-${host}.json`);
-    const own = settings.filter((_one, index) => index % count === host);
-    writeFileSync(file, JSON.stringify(own));
+    const hostSettings = settings.filter((_one, index) => index % count === host);
+    writeFileSync(file, JSON.stringify(hostSettings));
     return startProcess({
       command: process.execPath,
       args: ['--import', 'tsx', HOST_PROGRAM, file],
       logFile: join(folder, `host-${host}.log`),
       onLine(line) {
-        reached[host] = Number(line);
+        versions[host] = Number(line);
       },
     });
   });
   return {
     waitForVersion: (version) =>
-      waitUntil(`version ${version} is in force`, () => reached.every((one) => one >= version), {
+      waitUntil(`version ${version} is in force`, () => versions.every((one) => one >= version), {
         everyMs: POLL_MS,
         withinMs: 60_000,
       }),
@@ -75,8 +75,8 @@
   };
 }
 
-/** Control VMs and hosts of entry VMs, all as processes of their own. */
-async function measureReach(count: number): Promise<Reach> {
+/** Measures with control VMs and hosts of entry VMs in separate processes. */
+async function measurePropagation(count: number): Promise<Propagation> {
   const entries = await planEntries(count);
   const deployment = await startDeployment({
     vms: planVms(3, 0, ['dc1']),
@@ -92,7 +92,7 @@
     peers: [...controls, ...entries.filter(({ vmId }) => vmId !== vm.vmId)],
     logLevel: 'error',
   }));
-  const hosts = startHosts(deployment.folder, settings);
+  const hosts = startEntryHosts(deployment.folder, settings);
   try {
     await deployment.waitUntilReady();
     const durationsMs: number[] = [];
@@ -102,11 +102,11 @@
       const { json } = await deployment.operatorPost('vm1', '/v1/config/changes', change);
       const acceptedMs = performance.now();
       const { status } = json as { status: string };
-      if (status !== 'accepted') throw new Error(`not accepted: ${JSON.stringify(json)}`);
+      if (status !== 'accepted') throw new Error(`change not accepted: ${JSON.stringify(json)}`);
       await hosts.waitForVersion(version + 1);
-      // The first change waits for the entry VMs to start.
+      // The first change is not measured, because it includes the start of the entry VMs.
       if (version > 0) durationsMs.push(performance.now() - acceptedMs);
-      await delay(PAUSE_MS);
+      await delay(CHANGE_INTERVAL_MS);
     }
     return { entries: count, durationsMs };
   } finally {
@@ -116,15 +116,15 @@
 }
 
 export async function configBench(): Promise<readonly Figure[]> {
-  const reaches: Reach[] = [];
-  for (const size of SIZES) reaches.push(await measureReach(size));
-  const points = reaches.map(({ entries, durationsMs }) => ({
+  const propagations: Propagation[] = [];
+  for (const size of SIZES) propagations.push(await measurePropagation(size));
+  const points = propagations.map(({ entries, durationsMs }) => ({
     x: entries,
     y: percentile(durationsMs, 0.99),
   }));
   const { slope, intercept } = fitLine(points);
   return [
-    ...reaches.flatMap(({ entries, durationsMs }): readonly Figure[] => [
+    ...propagations.flatMap(({ entries, durationsMs }): readonly Figure[] => [
       {
         metric: `in-force-p50-${entries}-entries`,
         value: percentile(durationsMs, 0.5),
@@ -134,10 +134,10 @@
         metric: `in-force-p99-${entries}-entries`,
         value: percentile(durationsMs, 0.99),
         unit: 'ms',
-        bound: { atMost: BUDGET_MS },
+        bound: { atMost: MAX_PROPAGATION_MS },
       },
     ]),
     { metric: 'in-force-slope', value: slope, unit: 'ms/entry' },
-    { metric: 'in-force-line-at-3600', value: intercept + slope * NODES_AT_SIZE, unit: 'ms' },
+    { metric: 'in-force-line-at-3600', value: intercept + slope * TARGET_ENTRIES, unit: 'ms' },
   ];
 }
--- a/packages/bench/src/benches/cost.ts
+++ b/packages/bench/src/benches/cost.ts
@@ -1,16 +1,16 @@
-/** What control costs each node when nothing happens, and at 10,000 changes a day. */
+/** Cost of the control plane for each VM, idle and at 10,000 settings changes a day. */
 import { delay } from '@spoolplank/node';
 import type { Deployment } from '../deployment';
 import type { Figure } from '../figures';
 import { mean } from '../statistics';
 import { waitForBackendServers } from '../observe';
-import { readMetric, withDeployment } from './setting';
+import { readMetric, withDeployment } from './benchDeployment';
 
 const CONTROLS = 3;
 const ENTRIES = 8;
-const WATCH_MS = 10_000;
+const MEASURE_MS = 10_000;
 const MS_PER_S = 1000;
-/** 10,000 changes a day are one in 8.6 s. */
+/** 10,000 changes a day are one every 8.64 s. */
 const CHANGE_INTERVAL_MS = 8640;
 const BACKEND_SERVERS = 12;
 
@@ -33,7 +33,7 @@
   return { cpuS, bytes: received + sent, atMs: performance.now() };
 }
 
-async function watch(
+async function measureCosts(
   deployment: Deployment,
   run: () => Promise<void>,
 ): Promise<ReadonlyMap<string, Cost>> {
@@ -56,7 +56,7 @@
   return costs;
 }
 
-function describeCosts(name: string, costs: readonly Cost[]): readonly Figure[] {
+function toFigures(name: string, costs: readonly Cost[]): readonly Figure[] {
   return [
     {
       metric: `${name}-cpu`,
@@ -83,12 +83,12 @@
       await deployment.startService({ name: `service-${index}`, service: 'bookings' });
     }
     await waitForBackendServers(deployment, BACKEND_SERVERS);
-    const idle = await watch(deployment, () => delay(WATCH_MS));
-    const busy = await watch(deployment, async () => {
+    const idle = await measureCosts(deployment, () => delay(MEASURE_MS));
+    const busy = await measureCosts(deployment, async () => {
       const { version } = (await deployment.operatorGet('vm1', '/v1/config')) as {
         version: number;
       };
-      for (let change = 0; change * CHANGE_INTERVAL_MS < WATCH_MS; change += 1) {
+      for (let change = 0; change * CHANGE_INTERVAL_MS < MEASURE_MS; change += 1) {
         const edits = [{ pointer: '/policy/maxRetries', value: change }];
         await deployment.operatorPost('vm1', '/v1/config/changes', {
           baseVersion: version + change,
@@ -97,15 +97,15 @@
         await delay(CHANGE_INTERVAL_MS);
       }
     });
-    const pick = (costs: ReadonlyMap<string, Cost>, isControl: boolean) =>
+    const selectCosts = (costs: ReadonlyMap<string, Cost>, isControl: boolean) =>
       [...costs]
         .filter(([vmId]) => isControl === Number(vmId.slice(2)) <= CONTROLS)
         .map(([, cost]) => cost);
     return [
-      ...describeCosts('entry-idle', pick(idle, false)),
-      ...describeCosts('entry-changes', pick(busy, false)),
-      ...describeCosts('control-idle', pick(idle, true)),
-      ...describeCosts('control-changes', pick(busy, true)),
+      ...toFigures('entry-idle', selectCosts(idle, false)),
+      ...toFigures('entry-changes', selectCosts(busy, false)),
+      ...toFigures('control-idle', selectCosts(idle, true)),
+      ...toFigures('control-changes', selectCosts(busy, true)),
     ];
   });
 }
--- a/packages/bench/src/benches/detection.ts
+++ b/packages/bench/src/benches/detection.ts
@@ -1,6 +1,6 @@
 /**
- * Telling a busy chain from a dead one: a fixed timeout, a learnt one, and a learnt one that
- * asks the stages before it decides, on one seeded trace of intervals between tokens.
+ * Failure detection: distinguishes a slow chain from a failed one by a fixed timeout, an adaptive
+ * one, and an adaptive one that probes the stages first, on a seeded trace of token intervals.
  */
 import { createStagePatience } from '@spoolplank/entry';
 import type { StagePatience } from '@spoolplank/entry';
@@ -12,20 +12,20 @@
 const SESSIONS = 400;
 const TOKENS = 300;
 const STEP_MS = 20;
-/** One interval in so many begins a busy phase, in which an interval is many times longer. */
+/** Each interval starts a busy phase, with longer intervals, with probability 1 / `BUSY_EVERY`. */
 const BUSY_EVERY = 150;
 const BUSY_TOKENS = 5;
 const BUSY_FACTOR = { from: 5, spread: 60 };
-/** What the stages take to answer a probe; a dead one is known by this time limit. */
+/** Timeout of a probe, after which a stage counts as failed. */
 const PROBE_LIMIT_MS = 200;
 const FIXED_TIMEOUTS_MS = [200, 500, 2000] as const;
 
-/** When a detector would give the chain up, counted from the last token. */
+/** A failure detector, described by its timeouts since the last token. */
 interface Detector {
   readonly name: string;
-  /** If every stage is well and only slow. */
+  /** Timeout if all stages are healthy and merely slow. */
   busyLimitMs(patience: StagePatience, clock: ManualClock): number;
-  /** If a stage is dead. */
+  /** Timeout if a stage has failed. */
   deadLimitMs(patience: StagePatience, clock: ManualClock): number;
 }
 
@@ -48,35 +48,35 @@
 ];
 
 function createTrace(random: Random): readonly number[] {
-  let busyLeft = 0;
+  let busyTokensLeft = 0;
   return Array.from({ length: TOKENS }, () => {
-    if (busyLeft === 0 && random.nextInt(BUSY_EVERY) === 0) busyLeft = BUSY_TOKENS;
+    if (busyTokensLeft === 0 && random.nextInt(BUSY_EVERY) === 0) busyTokensLeft = BUSY_TOKENS;
     const jitterMs = STEP_MS * (0.8 + 0.4 * random.nextFloat());
-    if (busyLeft === 0) return jitterMs;
-    busyLeft -= 1;
+    if (busyTokensLeft === 0) return jitterMs;
+    busyTokensLeft -= 1;
     return jitterMs * (BUSY_FACTOR.from + random.nextFloat() * BUSY_FACTOR.spread);
   });
 }
 
-interface Verdict {
+interface DetectionResult {
   readonly falseMoves: number;
   readonly detectionMs: readonly number[];
 }
 
-function judgeDetector(detector: Detector): Verdict {
+function measureDetector(detector: Detector): DetectionResult {
   const random = createSeededRandom(11);
   let falseMoves = 0;
   const detectionMs: number[] = [];
   for (let session = 0; session < SESSIONS; session += 1) {
     const clock = createManualClock();
     const patience = createStagePatience({ clock, estimatedStepMs: STEP_MS, prefillTokens: 0 });
-    const isGivenUp = (gapMs: number) => {
+    const isTimedOut = (gapMs: number) => {
       const isLate = gapMs > detector.busyLimitMs(patience, clock);
       clock.advance(gapMs);
       patience.observe();
       return isLate;
     };
-    falseMoves += createTrace(random).filter(isGivenUp).length;
+    falseMoves += createTrace(random).filter(isTimedOut).length;
     detectionMs.push(detector.deadLimitMs(patience, clock));
   }
   return { falseMoves, detectionMs };
@@ -84,7 +84,7 @@
 
 export function detectionBench(): Promise<readonly Figure[]> {
   const figures = DETECTORS.flatMap((detector): readonly Figure[] => {
-    const { falseMoves, detectionMs } = judgeDetector(detector);
+    const { falseMoves, detectionMs } = measureDetector(detector);
     const perThousand = (falseMoves / SESSIONS) * 1000;
     return [
       { metric: `${detector.name}-false-moves`, value: perThousand, unit: 'per 1000 sessions' },
--- a/packages/bench/src/benches/entryHost.ts
+++ b/packages/bench/src/benches/entryHost.ts
@@ -1,4 +1,4 @@
-/** Runs several entry VMs in one process, and prints each version that all of them have. */
+/** Runs several entry VMs in one process and prints each settings version that all of them have. */
 import { readFileSync } from 'node:fs';
 import { startVm } from '@spoolplank/cli';
 import type { Vm } from '@spoolplank/cli';
@@ -9,7 +9,7 @@
 async function main(file: string): Promise<void> {
   const settings = JSON.parse(readFileSync(file, 'utf8')) as readonly VmSettings[];
   const vms: Vm[] = [];
-  for (const one of settings) vms.push(await startVm(one, () => process.exit(1)));
+  for (const vmSettings of settings) vms.push(await startVm(vmSettings, () => process.exit(1)));
   let reported = 0;
   setInterval(() => {
     const version = Math.min(...vms.map((vm) => vm.settingsVersion()));
--- a/packages/bench/src/benches/feed.ts
+++ b/packages/bench/src/benches/feed.ts
@@ -1,6 +1,6 @@
 /**
- * What the exchange of facts, the choice of chains and the placement of layers cost, by the
- * number of entry VMs and engines. Processor time in one process, without a network.
+ * Cost of the fact exchange, of chain selection and of layer placement, by the number of entry VMs
+ * and engines. Measures the processor time of one process, without a network.
  */
 import { createFactTable, FACT_KEYS } from '@spoolplank/membership';
 import type { BackendFact, FactTable, SystemFact } from '@spoolplank/membership';
@@ -11,17 +11,17 @@
 import { fitLine } from '../statistics';
 
 const ENTRIES = [11, 76, 300] as const;
-/** Engines of one data centre: as on the sites, as on the grown ones, and three times that. */
+/** Engines of one data centre: today's sites, the grown sites, and three times the latter. */
 const ENGINES = [14, 33, 100] as const;
 const CONTROLS = 6;
 const EXCHANGES = 30;
-const PLANS = 5;
-/** An exchange held back to the full; see the role `entry`. */
+const ROUNDS = 5;
+/** Exchanges per second when each is delayed by the maximum; see the role `entry`. */
 const EXCHANGES_PER_S = 1.25;
 const MS_PER_S = 1000;
 const LAYERS = 80;
-/** A plan for 100 engines must not hold up a control VM, nor a choice of chains an entry. */
-const DECISION_BOUND = { atMost: 50 };
+/** Planning for 100 engines must not block a control VM, nor chain selection an entry VM. */
+const DECISION_TIME_BOUND = { atMost: 50 };
 const KINDS = ['large', 'medium', 'small', 'small', 'small', 'tiny', 'tiny', 'tiny'];
 
 const MODEL: ModelDescription = {
@@ -58,8 +58,8 @@
   };
 }
 
-/** States everything anew, as it comes about between two exchanges. */
-function stateAll(table: FactTable<SystemFact>, entries: number, sequence: number): void {
+/** Publishes every fact again with a new sequence number, as happens between two exchanges. */
+function putAllFacts(table: FactTable<SystemFact>, entries: number, sequence: number): void {
   for (let index = 0; index < entries; index += 1) {
     const host = `10.1.0.${index}`;
     table.put(FACT_KEYS.member(host, 'run'), sequence, {
@@ -89,27 +89,27 @@
   readonly processorMs: number;
 }
 
-/** An answer written and taken in: what one entry and its control VM spend on an exchange. */
+/** Measures one exchange: the control VM serializes a delta and the entry VM merges it. */
 function measureExchange(entries: number): ExchangeCost {
   const options = { clock: SYSTEM_CLOCK, isUrgent: () => false };
   const control = createFactTable<SystemFact>({ ...options, instance: 'control' });
   const entry = createFactTable<SystemFact>({ ...options, instance: 'entry' });
   let bytes = 0;
   let processorUs = 0;
-  let known = 0;
+  let knownRevision = 0;
   for (let exchange = 1; exchange <= EXCHANGES; exchange += 1) {
-    stateAll(control, entries, exchange);
+    putAllFacts(control, entries, exchange);
     const before = process.cpuUsage();
-    const text = JSON.stringify(control.deltaSince('control', known));
+    const text = JSON.stringify(control.deltaSince('control', knownRevision));
     const { revision, updates } = JSON.parse(text) as ReturnType<typeof control.deltaSince>;
     entry.merge(updates, SYSTEM_CLOCK.nowMs());
     const { user, system } = process.cpuUsage(before);
-    // The first answer carries everything; what lasts is the others.
-    if (known > 0) {
+    // The first delta is not counted: it contains all facts, unlike those of the steady state.
+    if (knownRevision > 0) {
       bytes += text.length;
       processorUs += user + system;
     }
-    known = revision;
+    knownRevision = revision;
   }
   const exchanges = EXCHANGES - 1;
   return { bytes: bytes / exchanges, processorMs: processorUs / exchanges / MS_PER_S };
@@ -131,9 +131,9 @@
 
 function measureMs(run: () => void): number {
   const before = process.cpuUsage();
-  for (let round = 0; round < PLANS; round += 1) run();
+  for (let round = 0; round < ROUNDS; round += 1) run();
   const { user, system } = process.cpuUsage(before);
-  return (user + system) / PLANS / MS_PER_S;
+  return (user + system) / ROUNDS / MS_PER_S;
 }
 
 function toStageEngines(engines: readonly PlacedEngine[]): StageEngine[] {
@@ -151,8 +151,13 @@
   const planMs = measureMs(() => planPlacement(engines, MODEL));
   const chainsMs = measureMs(() => findStageChains(placed, { layers: LAYERS }));
   return [
-    { metric: `plan_${count}_engines`, value: planMs, unit: 'ms', bound: DECISION_BOUND },
-    { metric: `find_chains_${count}_engines`, value: chainsMs, unit: 'ms', bound: DECISION_BOUND },
+    { metric: `plan_${count}_engines`, value: planMs, unit: 'ms', bound: DECISION_TIME_BOUND },
+    {
+      metric: `find_chains_${count}_engines`,
+      value: chainsMs,
+      unit: 'ms',
+      bound: DECISION_TIME_BOUND,
+    },
     { metric: `chains_${count}_engines`, value: chains.length, unit: 'chains' },
   ];
 }
--- a/packages/bench/src/benches/overload.ts
+++ b/packages/bench/src/benches/overload.ts
@@ -1,15 +1,15 @@
-/** Goodput beyond capacity, a small organisation beside one that floods, and leaving. */
+/** Goodput under overload, fairness to a small organisation, and draining of a leaving service. */
 import { delay, digestToken } from '@spoolplank/node';
 import { callService } from '../caller';
 import type { Deployment, RunningFake } from '../deployment';
 import type { Figure } from '../figures';
 import { percentile } from '../statistics';
 import { waitForBackendServers } from '../observe';
-import { BENCH_SERVICE, BENCH_TOKEN, withDeployment } from './setting';
+import { BENCH_SERVICE, BENCH_TOKEN, withDeployment } from './benchDeployment';
 
 const CAPACITY = 20;
 const DURATION_MS = 50;
-/** Requests a second that the one service can answer. */
+/** Requests per second that the service can answer. */
 const CAPACITY_PER_S = (CAPACITY / DURATION_MS) * 1000;
 const LOADS = [0.5, 1, 2, 5] as const;
 const WINDOW_MS = 4000;
@@ -17,12 +17,12 @@
 const SMALL_TOKEN = 'token-of-a-small-organisation';
 const SMALL_INTERVAL_MS = 25;
 
-interface Sent {
+interface CallResult {
   readonly status: number;
   readonly durationMs: number;
 }
 
-function callOnce(deployment: Deployment, token: string): Promise<Sent> {
+function callOnce(deployment: Deployment, token: string): Promise<CallResult> {
   const startedMs = performance.now();
   return callService({
     address: deployment.addresses[1] ?? '',
@@ -35,24 +35,24 @@
   );
 }
 
-/** Sends at a fixed rate, whatever comes back. */
+/** Sends requests at a fixed rate, independent of the answers (open loop). */
 async function sendAtRate(
   deployment: Deployment,
   token: string,
   perS: number,
   windowMs: number,
-): Promise<readonly Sent[]> {
-  const calls: Promise<Sent>[] = [];
+): Promise<readonly CallResult[]> {
+  const calls: Promise<CallResult>[] = [];
   const startedMs = performance.now();
   while (performance.now() - startedMs < windowMs) {
-    const due = Math.floor(((performance.now() - startedMs) / 1000) * perS);
-    while (calls.length < due) calls.push(callOnce(deployment, token));
+    const dueCount = Math.floor(((performance.now() - startedMs) / 1000) * perS);
+    while (calls.length < dueCount) calls.push(callOnce(deployment, token));
     await delay(2);
   }
   return Promise.all(calls);
 }
 
-async function prepare(deployment: Deployment): Promise<RunningFake> {
+async function startBenchService(deployment: Deployment): Promise<RunningFake> {
   const service = await deployment.startService({
     name: 'service-1',
     service: BENCH_SERVICE,
@@ -106,7 +106,7 @@
   ];
 }
 
-async function measureSmall(deployment: Deployment): Promise<readonly number[]> {
+async function measureSmallOrganisation(deployment: Deployment): Promise<readonly number[]> {
   const durationsMs: number[] = [];
   const startedMs = performance.now();
   while (performance.now() - startedMs < WINDOW_MS) {
@@ -118,23 +118,23 @@
 }
 
 async function measureFairness(deployment: Deployment): Promise<readonly Figure[]> {
-  const alone = percentile(await measureSmall(deployment), 0.99);
+  const alone = percentile(await measureSmallOrganisation(deployment), 0.99);
   const flood = sendAtRate(deployment, BENCH_TOKEN, 2 * CAPACITY_PER_S, WINDOW_MS);
-  const beside = percentile(await measureSmall(deployment), 0.99);
+  const besideFlood = percentile(await measureSmallOrganisation(deployment), 0.99);
   await flood;
   return [
     { metric: 'small-organisation-p99-alone', value: alone, unit: 'ms' },
-    { metric: 'small-organisation-p99-beside-flood', value: beside, unit: 'ms' },
+    { metric: 'small-organisation-p99-beside-flood', value: besideFlood, unit: 'ms' },
     {
       metric: 'small-organisation-ratio',
-      value: beside / alone,
+      value: besideFlood / alone,
       unit: 'ratio',
       bound: { atMost: 3 },
     },
   ];
 }
 
-/** From the leaving announcement to the last new request that the service got. */
+/** Measures the time from the leaving announcement to the last request that the service got. */
 async function measureLeaving(
   deployment: Deployment,
   service: RunningFake,
@@ -149,11 +149,11 @@
   const sending = sendAtRate(deployment, BENCH_TOKEN, CAPACITY_PER_S / 2, 3000);
   await delay(1000);
   const leaving = service.post('/-/leave', {});
-  const leftMs = performance.now();
+  const leaveStartedAtMs = performance.now();
   await leaving;
   await sending;
   const { lastRequestAgoMs } = (await service.get('/-/totals')) as { lastRequestAgoMs: number };
-  const untilLastMs = Math.max(0, performance.now() - lastRequestAgoMs - leftMs);
+  const untilLastMs = Math.max(0, performance.now() - lastRequestAgoMs - leaveStartedAtMs);
   return [
     { metric: 'leaving-to-last-request', value: untilLastMs, unit: 'ms', bound: { atMost: 3000 } },
   ];
@@ -161,7 +161,7 @@
 
 export function overloadBench(): Promise<readonly Figure[]> {
   return withDeployment(1, 1, async (deployment) => {
-    const service = await prepare(deployment);
+    const service = await startBenchService(deployment);
     return [
       ...(await measureGoodput(deployment)),
       ...(await measureFairness(deployment)),
--- a/packages/bench/src/benches/recovery.ts
+++ b/packages/bench/src/benches/recovery.ts
@@ -1,26 +1,26 @@
-/** From the death of an engine to the next token of its sessions, against starting again. */
+/** Time from the failure of an engine to the next token of its session. */
 import { delay } from '@spoolplank/node';
 import { streamCompletion } from '../caller';
 import type { Deployment, RunningFake } from '../deployment';
 import type { Figure } from '../figures';
 import { percentile } from '../statistics';
 import { waitForBackendServers } from '../observe';
-import { BENCH_MODEL, BENCH_TOKEN, planEngines, withDeployment } from './setting';
+import { BENCH_MODEL, BENCH_TOKEN, planEngines, withDeployment } from './benchDeployment';
 
 const ROUNDS = 9;
 const TOKENS = 80;
-const KILL_AT = 40;
+const FAULT_POSITION = 40;
 const PARTS = 3;
 
 type Fault = 'SIGKILL' | 'SIGSTOP';
 
 interface Recovery {
-  /** Longest wait for a token, which is the recovery. */
+  /** Longest interval between tokens after the fault, which includes the recovery. */
   readonly gapMs: number;
   readonly isWhole: boolean;
 }
 
-async function findWorking(
+async function findBusiestEngine(
   engines: readonly RunningFake[],
   part: number,
 ): Promise<RunningFake | undefined> {
@@ -35,14 +35,14 @@
   return candidates[counts.indexOf(Math.max(...counts))];
 }
 
-async function measureOne(
+async function measureRecovery(
   deployment: Deployment,
   engines: RunningFake[],
   part: number,
   fault: Fault,
 ): Promise<Recovery> {
-  let hit: RunningFake | undefined;
-  let faultMs = 0;
+  let faultyEngine: RunningFake | undefined;
+  let lastEventAtMs = 0;
   let gapMs = 0;
   const answer = await streamCompletion({
     address: deployment.addresses[1] ?? '',
@@ -52,21 +52,22 @@
     maxTokens: TOKENS,
     onToken(position) {
       const nowMs = performance.now();
-      if (position === KILL_AT) {
-        void findWorking(engines, part).then((engine) => {
-          hit = engine;
-          faultMs = performance.now();
+      if (position === FAULT_POSITION) {
+        void findBusiestEngine(engines, part).then((engine) => {
+          faultyEngine = engine;
+          lastEventAtMs = performance.now();
           engine?.process.signal(fault);
         });
-      } else if (faultMs > 0) {
-        gapMs = Math.max(gapMs, nowMs - faultMs);
-        faultMs = nowMs;
+      } else if (lastEventAtMs > 0) {
+        gapMs = Math.max(gapMs, nowMs - lastEventAtMs);
+        lastEventAtMs = nowMs;
       }
     },
   });
-  if (hit) await hit.process.end('SIGKILL');
-  const plan = planEngines(PARTS, 2).find(({ name }) => name === hit?.name);
-  if (hit && plan) engines.splice(engines.indexOf(hit), 1, await deployment.startEngine(plan));
+  if (faultyEngine) await faultyEngine.process.end('SIGKILL');
+  const plan = planEngines(PARTS, 2).find(({ name }) => name === faultyEngine?.name);
+  if (faultyEngine && plan)
+    engines.splice(engines.indexOf(faultyEngine), 1, await deployment.startEngine(plan));
   await waitForBackendServers(deployment, engines.length);
   await delay(100);
   return { gapMs, isWhole: answer.isWhole };
@@ -86,7 +87,7 @@
     for (const [name, fault] of faults) {
       const recoveries: Recovery[] = [];
       for (let round = 0; round < ROUNDS; round += 1) {
-        recoveries.push(await measureOne(deployment, engines, round % PARTS, fault));
+        recoveries.push(await measureRecovery(deployment, engines, round % PARTS, fault));
       }
       const gapsMs = recoveries.map(({ gapMs }) => gapMs);
       const whole = recoveries.filter(({ isWhole }) => isWhole).length;
--- a/packages/bench/src/benches/recoveryControl.ts
+++ b/packages/bench/src/benches/recoveryControl.ts
@@ -1,4 +1,4 @@
-/** From the death of the leader to the next accepted change; and starting from a long log. */
+/** Time from the failure of the leader to the next accepted change, and restart from a long log. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -11,7 +11,7 @@
 import type { Figure } from '../figures';
 import { fitLine, percentile } from '../statistics';
 import { findLeader } from '../observe';
-import { withDeployment } from './setting';
+import { withDeployment } from './benchDeployment';
 
 const ROUNDS = 8;
 const LOG_SIZES = [100, 1000, 5000] as const;
@@ -24,7 +24,7 @@
     for (let round = 0; round < ROUNDS; round += 1) {
       const leader = await findLeader(deployment);
       await deployment.vm(leader).process.end('SIGKILL');
-      const killedMs = performance.now();
+      const killedAtMs = performance.now();
       const change = {
         changeId: `round-${round}`,
         baseVersion: version,
@@ -34,7 +34,7 @@
         const { json } = await deployment.operatorPost('vm4', '/v1/config/changes', change);
         return (json as { status?: string }).status === 'accepted';
       });
-      durationsMs.push(performance.now() - killedMs);
+      durationsMs.push(performance.now() - killedAtMs);
       version += 1;
       deployment.restart(leader);
       await deployment.waitUntilReady();
@@ -47,7 +47,7 @@
   return createControlState({ logClock: createLogClock(SYSTEM_CLOCK) });
 }
 
-function settingsEntry(index: number): LogEntry {
+function createSettingsEntry(index: number): LogEntry {
   const command = {
     kind: 'settings.change',
     changeId: `change-${index}`,
@@ -62,7 +62,7 @@
   return { index, term: 1, payload: { kind: 'command', command: command as unknown as JsonValue } };
 }
 
-/** Time from opening the folder to the state being there again. */
+/** Measures the time from opening the data folder to the restored state. */
 async function measureRestart(changes: number): Promise<number> {
   const folder = mkdtempSync(join(tmpdir(), 'spoolplank-restart-'));
   const writer = createFileStorage({ folder });
@@ -71,7 +71,9 @@
     { index: 1, term: 0, configuration: { voters: ['a'], learners: [] } },
     '',
   );
-  const entries = Array.from({ length: changes }, (_unused, offset) => settingsEntry(offset + 2));
+  const entries = Array.from({ length: changes }, (_unused, offset) =>
+    createSettingsEntry(offset + 2),
+  );
   await writer.save({ hardState: { term: 1, votedFor: 'a' }, entries });
   const startedMs = performance.now();
   const stored = await createFileStorage({ folder }).load();
@@ -82,7 +84,7 @@
   const durationMs = performance.now() - startedMs;
   rmSync(folder, { recursive: true });
   if (state.settings.version !== changes)
-    throw new Error(`${state.settings.version} of ${changes} changes came back`);
+    throw new Error(`restored ${state.settings.version} of ${changes} changes`);
   return durationMs;
 }
 
--- a/packages/bench/src/benches/relay.ts
+++ b/packages/bench/src/benches/relay.ts
@@ -1,4 +1,4 @@
-/** How much one core of an entry VM carries: tokens relayed, and plain requests. */
+/** Capacity of an entry VM per core: relayed tokens and plain requests. */
 import { callService, streamCompletion } from '../caller';
 import type { Deployment } from '../deployment';
 import type { Figure } from '../figures';
@@ -11,7 +11,7 @@
   planEngines,
   readMetric,
   withDeployment,
-} from './setting';
+} from './benchDeployment';
 
 const STREAMS = 120;
 const TOKENS = 300;
@@ -29,15 +29,15 @@
   return (await readMetric(deployment, vmId, CPU_METRIC)) - before;
 }
 
-async function callMany(
+async function callConcurrently(
   address: string,
   count: number,
   onDuration: (durationMs: number) => void,
 ): Promise<void> {
-  let left = count;
+  let remaining = count;
   const worker = async () => {
-    while (left > 0) {
-      left -= 1;
+    while (remaining > 0) {
+      remaining -= 1;
       const startedMs = performance.now();
       const { status } = await callService({ address, token: BENCH_TOKEN, service: BENCH_SERVICE });
       if (status !== 200) throw new Error(`a request was answered with ${status}`);
@@ -49,7 +49,7 @@
 
 export function relayBench(): Promise<readonly Figure[]> {
   return withDeployment(1, 1, async (deployment) => {
-    // Quick engines with room for all streams in one step: the entry VM is what is measured.
+    // Fast engines that fit all streams into one step, so that the entry VM is the bottleneck.
     const plans = planEngines(2, 3, {
       stepBaseMs: 2,
       stepPerItemMs: 0.01,
@@ -65,7 +65,7 @@
     });
     await waitForBackendServers(deployment, plans.length + 1);
     const [, entry] = deployment.vms;
-    if (!entry) throw new Error('there is no entry VM');
+    if (!entry) throw new Error('the deployment has no entry VM');
     const address = entry.callerAddress;
     let tokens = 0;
     const gapsMs: number[] = [];
@@ -88,7 +88,7 @@
     });
     const durationsMs: number[] = [];
     const requestCpuS = await measureCpuS(deployment, entry.vmId, () =>
-      callMany(address, REQUESTS, (durationMs) => durationsMs.push(durationMs)),
+      callConcurrently(address, REQUESTS, (durationMs) => durationsMs.push(durationMs)),
     );
     return [
       {
--- a/packages/bench/src/benches/state.ts
+++ b/packages/bench/src/benches/state.ts
@@ -1,4 +1,4 @@
-/** Memory and time of the state at the size that decides the design. */
+/** Memory and processing time of the state at the sizes that determine the design. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { createSessionStore } from '@spoolplank/entry';
@@ -25,16 +25,16 @@
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
 
-/** Bytes that stay in use because of what a function makes, and what it made. */
-function measureHeap<Result>(make: () => Result): {
+/** Creates a value and measures the heap bytes that it retains. */
+function measureHeap<Result>(factory: () => Result): {
   readonly bytes: number;
-  readonly made: Result;
+  readonly created: Result;
 } {
   collectGarbage();
   const before = process.memoryUsage().heapUsed;
-  const made = make();
+  const made = factory();
   collectGarbage();
-  return { bytes: process.memoryUsage().heapUsed - before, made };
+  return { bytes: process.memoryUsage().heapUsed - before, created: made };
 }
 
 function measureUs(times: number, run: (index: number) => void): number {
@@ -92,7 +92,7 @@
 }
 
 function measureSettings(): readonly Figure[] {
-  const { bytes, made: tree } = measureHeap(createTree);
+  const { bytes, created: tree } = measureHeap(createTree);
   const text = JSON.stringify(tree);
   const changeUs = measureUs(50, (index) => {
     applyEdits(tree, [{ pointer: `/organisations/organisation-${index}/policy/weight`, value: 2 }]);
@@ -114,7 +114,7 @@
 }
 
 function measureClaims(): readonly Figure[] {
-  const { bytes, made: state } = measureHeap(() => {
+  const { bytes, created: state } = measureHeap(() => {
     const control = createControlState({ logClock: createLogClock(SYSTEM_CLOCK) });
     for (let index = 0; index < CLAIMS; index += 1) {
       const command = {
@@ -145,7 +145,7 @@
     const announcements = Array.from({ length: count }, (_unused, index) =>
       createAnnouncement(index),
     );
-    const { bytes, made: directory } = measureHeap(() => {
+    const { bytes, created: directory } = measureHeap(() => {
       const table = createDirectory({ clock: SYSTEM_CLOCK, instance: 'bench', ttlMs: 1e9 });
       announcements.forEach((announcement) => table.announce(structuredClone(announcement)));
       return table;
@@ -184,7 +184,7 @@
 }
 
 function measureSessions(): readonly Figure[] {
-  const { bytes, made: store } = measureHeap(() => {
+  const { bytes, created: store } = measureHeap(() => {
     const sessions = createSessionStore({ clock: SYSTEM_CLOCK });
     for (let index = 0; index < SESSIONS; index += 1) {
       const request = {
--- a/packages/bench/src/benches/thin.ts
+++ b/packages/bench/src/benches/thin.ts
@@ -1,4 +1,4 @@
-/** What the entry VM adds: the same engines asked through it and directly. */
+/** Overhead of the entry VM: streams through it against streams directly from the same engines. */
 import { createInterface } from 'node:readline';
 import { openCall } from '@spoolplank/node';
 import { chatPrompt, streamCompletion } from '../caller';
@@ -6,25 +6,31 @@
 import type { Figure } from '../figures';
 import { percentile } from '../statistics';
 import { waitForBackendServers } from '../observe';
-import { BENCH_LAYERS, BENCH_MODEL, BENCH_TOKEN, planEngines, withDeployment } from './setting';
+import {
+  BENCH_LAYERS,
+  BENCH_MODEL,
+  BENCH_TOKEN,
+  planEngines,
+  withDeployment,
+} from './benchDeployment';
 
 const ROUNDS = 12;
 const TOKENS = 60;
 const PROMPT = 'draft a quotation for two skips at the north yard';
 
-interface Timing {
+interface StreamTiming {
   readonly firstTokenMs: number;
   readonly tokensPerS: number;
 }
 
-async function streamDirect(engines: readonly RunningFake[], round: number): Promise<Timing> {
-  const size = BENCH_LAYERS / engines.length;
+async function streamDirect(engines: readonly RunningFake[], round: number): Promise<StreamTiming> {
+  const layersPerEngine = BENCH_LAYERS / engines.length;
   const stages = engines.map(({ name, port }, index) => ({
     name,
     host: '127.0.0.1',
     port,
-    firstLayer: index * size,
-    lastLayer: (index + 1) * size - 1,
+    firstLayer: index * layersPerEngine,
+    lastLayer: (index + 1) * layersPerEngine - 1,
   }));
   const session = `direct-${round}`;
   const startedMs = performance.now();
@@ -57,7 +63,7 @@
   return { firstTokenMs, tokensPerS: (tokens / (performance.now() - startedMs)) * 1000 };
 }
 
-async function streamThroughEntry(address: string): Promise<Timing> {
+async function streamThroughEntry(address: string): Promise<StreamTiming> {
   const answer = await streamCompletion({
     address,
     token: BENCH_TOKEN,
@@ -77,13 +83,13 @@
       planEngines(3, 1).map((engine) => deployment.startEngine(engine)),
     );
     await waitForBackendServers(deployment, engines.length);
-    const direct: Timing[] = [];
-    const routed: Timing[] = [];
+    const direct: StreamTiming[] = [];
+    const routed: StreamTiming[] = [];
     for (let round = 0; round < ROUNDS; round += 1) {
       direct.push(await streamDirect(engines, round));
       routed.push(await streamThroughEntry(deployment.addresses[1] ?? ''));
     }
-    const median = (timings: readonly Timing[], pick: (timing: Timing) => number) =>
+    const median = (timings: readonly StreamTiming[], pick: (timing: StreamTiming) => number) =>
       percentile(timings.map(pick), 0.5);
     const firstDirect = median(direct, ({ firstTokenMs }) => firstTokenMs);
     const firstRouted = median(routed, ({ firstTokenMs }) => firstTokenMs);
--- a/packages/bench/src/benches/throughput.ts
+++ b/packages/bench/src/benches/throughput.ts
@@ -1,9 +1,9 @@
 /**
- * Tokens a second against the bound that the engines allow.
+ * Tokens per second, compared with the upper bound that the engines allow.
  *
- * The bound: an engine finishes at most `maxBatch` tokens in a step of
- * `stepBaseMs + stepPerItemMs * (maxBatch - 1)`. Every token needs each part of the layers
- * once, so no more tokens come out than the engines of the slowest part can finish together.
+ * An engine finishes at most `maxBatch` tokens in a step of
+ * `stepBaseMs + stepPerItemMs * (maxBatch - 1)`. Every token passes each part of the layers once,
+ * so the bound is the combined rate of the engines of the slowest part.
  */
 import { delay } from '@spoolplank/node';
 import type { FakeEngineOptions } from '@spoolplank/fakes';
@@ -12,7 +12,7 @@
 import type { Figure } from '../figures';
 import { percentile } from '../statistics';
 import { waitForBackendServers } from '../observe';
-import { BENCH_LAYERS, BENCH_MODEL, BENCH_TOKEN, withDeployment } from './setting';
+import { BENCH_LAYERS, BENCH_MODEL, BENCH_TOKEN, withDeployment } from './benchDeployment';
 
 type EnginePlan = Partial<FakeEngineOptions> & {
   readonly name: string;
@@ -22,7 +22,7 @@
   readonly firstLayer: number;
 };
 
-interface Measured {
+interface ThroughputResult {
   readonly tokensPerS: number;
   readonly gapsMs: readonly number[];
 }
@@ -30,10 +30,10 @@
 const PARTS = 2;
 const TOKENS = 120;
 const WARM_UP_MS = 2500;
-const WATCH_MS = 6000;
+const MEASURE_MS = 6000;
 const MS_PER_S = 1000;
 
-/** Four kinds of accelerators, eightfold apart, and links a hundredfold apart. */
+/** Four kinds of accelerators; the step times span a factor of 8, the link rates one of 100. */
 const KINDS = [
   { stepBaseMs: 10, linkBytesPerS: 1e9 },
   { stepBaseMs: 20, linkBytesPerS: 3e8 },
@@ -67,25 +67,29 @@
   return Math.min(...byPart.values());
 }
 
-/** What a run counts, shared by its callers. */
-interface Watch {
+/** Counters of a run, shared by its concurrent callers. */
+interface Measurement {
   tokens: number;
-  isWatching: boolean;
-  isOver: boolean;
+  isMeasuring: boolean;
+  isStopped: boolean;
   readonly gapsMs: number[];
 }
 
-async function callUntilOver(deployment: Deployment, index: number, watch: Watch): Promise<void> {
+async function streamUntilStopped(
+  deployment: Deployment,
+  index: number,
+  measurement: Measurement,
+): Promise<void> {
   let lastMs = 0;
   const onToken = (position: number) => {
     const nowMs = performance.now();
-    if (watch.isWatching) {
-      watch.tokens += 1;
-      if (position > 0) watch.gapsMs.push(nowMs - lastMs);
+    if (measurement.isMeasuring) {
+      measurement.tokens += 1;
+      if (position > 0) measurement.gapsMs.push(nowMs - lastMs);
     }
     lastMs = nowMs;
   };
-  while (!watch.isOver) {
+  while (!measurement.isStopped) {
     await streamCompletion({
       address: deployment.addresses[1] ?? '',
       token: BENCH_TOKEN,
@@ -97,27 +101,27 @@
   }
 }
 
-async function measure(deployment: Deployment, sessions: number): Promise<Measured> {
-  const watch: Watch = { tokens: 0, isWatching: false, isOver: false, gapsMs: [] };
+async function measure(deployment: Deployment, sessions: number): Promise<ThroughputResult> {
+  const measurement: Measurement = { tokens: 0, isMeasuring: false, isStopped: false, gapsMs: [] };
   const callers = Array.from({ length: sessions }, (_unused, index) =>
-    callUntilOver(deployment, index, watch),
+    streamUntilStopped(deployment, index, measurement),
   );
   await delay(WARM_UP_MS);
-  watch.isWatching = true;
+  measurement.isMeasuring = true;
   const startedMs = performance.now();
-  await delay(WATCH_MS);
-  watch.isWatching = false;
-  const tokensPerS = (watch.tokens / (performance.now() - startedMs)) * MS_PER_S;
-  watch.isOver = true;
+  await delay(MEASURE_MS);
+  measurement.isMeasuring = false;
+  const tokensPerS = (measurement.tokens / (performance.now() - startedMs)) * MS_PER_S;
+  measurement.isStopped = true;
   await Promise.all(callers);
-  return { tokensPerS, gapsMs: watch.gapsMs };
+  return { tokensPerS, gapsMs: measurement.gapsMs };
 }
 
 function measurePlan(
   name: string,
   plans: readonly EnginePlan[],
   sessions: number,
-  goal: number,
+  minShare: number,
 ): Promise<readonly Figure[]> {
   return withDeployment(1, 1, async (deployment) => {
     await Promise.all(plans.map((plan) => deployment.startEngine(plan)));
@@ -131,7 +135,7 @@
         metric: `${name}-share-of-bound`,
         value: tokensPerS / bound,
         unit: 'share',
-        bound: { atLeast: goal },
+        bound: { atLeast: minShare },
       },
       { metric: `${name}-token-gap-p95`, value: percentile(gapsMs, 0.95), unit: 'ms' },
     ];
