--- a/packages/bench/__tests__/backingOffService.spec.ts
+++ b/packages/bench/__tests__/backingOffService.spec.ts
@@ -2,11 +2,11 @@
 import { after, before, describe, it } from 'node:test';
 import { callService, waitForBackendServers } from '..';
 import type { Deployment, RunningFake } from '..';
-import { KALAHARI_TOKEN, SERVICE, startReady } from './fixtures';
+import { KALAHARI_TOKEN, SERVICE, startReadyDeployment } from './fixtures';
 
 const BACKOFF_S = 60;
 const CALLS = 12;
-/** The VM that is called. */
+/** Index of the VM that is called. */
 const VM = 3;
 
 describe('a plain service whose servers ask for a backoff', () => {
@@ -14,7 +14,7 @@
   let services: readonly RunningFake[];
 
   before(async () => {
-    deployment = await startReady(3, 1);
+    deployment = await startReadyDeployment(3, 1);
     services = await Promise.all(
       ['service-1', 'service-2'].map((name) =>
         deployment.startService({ name, service: SERVICE, announceIntervalMs: 300 }),
@@ -40,7 +40,7 @@
     return totals.map((total) => (total as { readonly refusals: number }).refusals);
   }
 
-  it('sends nothing to the one that asked, and serves callers by the other', async () => {
+  it('sends nothing to a server that asked for a backoff, and uses the other one', async () => {
     await services[0]?.post('/-/faults', { failure: 'before', retryAfterS: BACKOFF_S });
     for (let count = 0; count < CALLS; count += 1) {
       assert.equal((await call(`one-${count}`)).status, 200);
@@ -48,7 +48,7 @@
     assert.deepEqual(await countRefusals(), [1, 0]);
   });
 
-  it('says when the first backoff ends where all of them back off', async () => {
+  it('tells callers when the first backoff ends if all servers back off', async () => {
     await services[1]?.post('/-/faults', { failure: 'before', retryAfterS: BACKOFF_S });
     await call('last');
     const answer = await call('refused');
--- a/packages/bench/__tests__/controlFaults.spec.ts
+++ b/packages/bench/__tests__/controlFaults.spec.ts
@@ -8,7 +8,7 @@
 import type { JsonValue } from '@spoolplank/shared';
 import { dumpControl, findLeader, waitUntil } from '..';
 import type { Deployment } from '..';
-import { KALAHARI_TOKEN, startReady, TEST_TIMINGS } from './fixtures';
+import { KALAHARI_TOKEN, startReadyDeployment, TEST_TIMINGS } from './fixtures';
 
 interface ChangeAnswer {
   readonly status: number;
@@ -35,11 +35,11 @@
     });
   }
 
-  function running(): readonly string[] {
+  function runningVmIds(): readonly string[] {
     return deployment.vms.filter(({ process }) => process.isRunning).map(({ vmId }) => vmId);
   }
 
-  async function waitForVersion(version: number, vmIds = running()): Promise<void> {
+  async function waitForVersion(version: number, vmIds = runningVmIds()): Promise<void> {
     const hasVersion = async (vmId: string) => {
       const reply = (await deployment.operatorGet(vmId, '/v1/config')) as {
         version: number;
@@ -55,33 +55,33 @@
   }
 
   async function waitForVoters(count: number): Promise<void> {
-    await waitUntil(`${count} replicas of this life vote`, async () => {
+    await waitUntil(`${count} replicas with their current ids vote`, async () => {
       const leader = await findLeader(deployment);
       const voters = (await dumpControl(deployment, leader))?.replica?.configuration.voters ?? [];
       const ids = await Promise.all(
-        running().map(async (vmId) => (await dumpControl(deployment, vmId))?.replica?.id),
+        runningVmIds().map(async (vmId) => (await dumpControl(deployment, vmId))?.replica?.id),
       );
       return voters.length === count && voters.every((voter) => ids.includes(voter));
     });
   }
 
   it('survive the leader being killed in the middle of changes, none lost and none twice', async () => {
-    deployment = await startReady(3, 1);
+    deployment = await startReadyDeployment(3, 1);
     const leader = await findLeader(deployment);
-    const asked = Array.from({ length: 20 }, (_unused, index) => index);
-    // All at once, each based on the version it expects: those that come too late conflict.
-    const answers = asked.map((index) =>
+    const indices = Array.from({ length: 20 }, (_unused, index) => index);
+    // Sent concurrently, each based on the version that it expects; late ones conflict.
+    const answers = indices.map((index) =>
       change('vm4', `kill-${index}`, index + 1, 100 + index).catch(() => null),
     );
     await deployment.vm(leader).process.end('SIGKILL');
     await Promise.all(answers);
     let version = 1;
-    for (const index of asked) {
+    for (const index of indices) {
       const { json } = await change('vm4', `kill-${index}`, index + 1, 100 + index);
       const { status, version: got } = json as { status: string; version: number };
       if (status === 'accepted') {
         version += 1;
-        assert.equal(got, version, 'accepted changes follow each other without gap');
+        assert.equal(got, version, 'accepted changes have consecutive versions');
       }
     }
     await waitForVersion(version);
@@ -95,25 +95,25 @@
   });
 
   it('survive a wiped disk that comes back under the same name, and a second VM lost right after', async () => {
-    deployment = await startReady(3, 1);
+    deployment = await startReadyDeployment(3, 1);
     const lagging = 'vm2';
     deployment.vm(lagging).process.signal('SIGSTOP');
     await waitUntil(
-      'a change is accepted without the one that lags',
+      'a change is accepted without the lagging VM',
       async () => (await change('vm4', 'c1', 1, 11)).status === 200,
     );
     const leader = await findLeader({
       ...deployment,
       vms: deployment.vms.filter(({ vmId }) => vmId !== lagging),
     });
-    const victim = ['vm1', 'vm3'].find((vmId) => vmId !== leader) ?? 'vm1';
-    await deployment.vm(victim).process.end('SIGKILL');
-    rmSync(deployment.vm(victim).dataFolder, { recursive: true });
-    deployment.restart(victim);
+    const wiped = ['vm1', 'vm3'].find((vmId) => vmId !== leader) ?? 'vm1';
+    await deployment.vm(wiped).process.end('SIGKILL');
+    rmSync(deployment.vm(wiped).dataFolder, { recursive: true });
+    deployment.restart(wiped);
     deployment.vm(lagging).process.signal('SIGCONT');
     await waitForVoters(3);
     await waitForVersion(2);
-    // Repaired; now the one that held everything throughout goes.
+    // The group is repaired; now the only VM that held all entries throughout is killed.
     await deployment.vm(leader).process.end('SIGKILL');
     await waitForVersion(2);
     const { json } = await change('vm4', 'c2', 2, 12);
@@ -122,7 +122,7 @@
   });
 
   it('are not read from, nor changed by, a leader that was frozen while another took over', async () => {
-    deployment = await startReady(3, 1);
+    deployment = await startReadyDeployment(3, 1);
     const frozen = await findLeader(deployment);
     deployment.vm(frozen).process.signal('SIGSTOP');
     const others = deployment.vms.filter(({ vmId }) => vmId !== frozen);
@@ -137,27 +137,27 @@
     assert.equal(
       (json as { status: string }).status,
       'conflict',
-      'the order that waited in the frozen VM does not win',
+      'the change that was pending in the frozen VM is not accepted',
     );
     await waitForVersion(2);
   });
 
   it('stay in force while a control VM is cut off and when it comes back', async () => {
-    const links: TcpProxy[] = [];
-    // Every path to and from vm3 leads over a link that can be cut.
-    deployment = await startReady(3, 1, {
+    const proxies: TcpProxy[] = [];
+    // Every connection to and from vm3 passes through a proxy.
+    deployment = await startReadyDeployment(3, 1, {
       adjustAll: async (all) => {
         const vm3 = all.find(({ vm }) => vm.vmId === 'vm3')?.vm;
         assert.ok(vm3);
-        const link = await startTcpProxy({ target: { host: vm3.host, port: vm3.peerPort } });
-        links.push(link);
+        const proxy = await startTcpProxy({ target: { host: vm3.host, port: vm3.peerPort } });
+        proxies.push(proxy);
         const toVm3 = (peers: VmSettings['peers']) =>
-          peers.map((peer) => (peer.vmId === 'vm3' ? { ...peer, peerPort: link.port } : peer));
+          peers.map((peer) => (peer.vmId === 'vm3' ? { ...peer, peerPort: proxy.port } : peer));
         const fromVm3 = async (peers: VmSettings['peers']) =>
           Promise.all(
             peers.map(async (peer) => {
               const out = await startTcpProxy({ target: { host: peer.host, port: peer.peerPort } });
-              links.push(out);
+              proxies.push(out);
               return { ...peer, peerPort: out.port };
             }),
           );
@@ -171,7 +171,7 @@
       },
     });
     try {
-      links.forEach((link) => link.setState('cut'));
+      proxies.forEach((proxy) => proxy.setState('cut'));
       await waitUntil(
         'a change is accepted without vm3',
         async () => (await change('vm4', 'c1', 1, 11)).status === 200,
@@ -181,16 +181,16 @@
         const status = (await deployment.operatorGet('vm3', '/v1/status')) as { isTaking: boolean };
         return !status.isTaking;
       });
-      links.forEach((link) => link.setState('open'));
+      proxies.forEach((proxy) => proxy.setState('open'));
       await waitForVersion(2);
       assert.deepEqual((await change('vm3', 'c2', 2, 12)).json, { status: 'accepted', version: 3 });
     } finally {
-      await Promise.all(links.map((link) => link.close()));
+      await Promise.all(proxies.map((proxy) => proxy.close()));
     }
   });
 
   it('come back after a restart of everything, after hundreds of changes', async () => {
-    deployment = await startReady(3, 1);
+    deployment = await startReadyDeployment(3, 1);
     for (let version = 1; version <= 500; version += 1) {
       const { json } = await change('vm4', `n${version}`, version, version);
       assert.deepEqual(json, { status: 'accepted', version: version + 1 });
@@ -205,12 +205,12 @@
     assert.deepEqual(
       (await change('vm4', 'n7', 7, 7)).json,
       { status: 'accepted', version: 8 },
-      'a resend is answered as the first time',
+      'a resent change gets its first answer again',
     );
   });
 
   it('go to one of two operators that race, and show the other what is in force', async () => {
-    deployment = await startReady(3, 1);
+    deployment = await startReadyDeployment(3, 1);
     const answers = await Promise.all([change('vm1', 'a', 1, 21), change('vm4', 'b', 1, 22)]);
     const replies = answers.map(
       ({ json }) =>
@@ -238,8 +238,8 @@
     assert.match(output, /conflict: version 2 is in force/);
   });
 
-  it('that are invalid are refused whole, with every finding and its place', async () => {
-    deployment = await startReady(1, 1);
+  it('that are invalid are refused as a whole, with the pointer of every finding', async () => {
+    deployment = await startReadyDeployment(1, 1);
     const edits = [{ pointer: '/policy', value: { weight: -1, wait: 3 } }];
     const { status, json } = await deployment.operatorPost('vm2', '/v1/config/changes', {
       changeId: 'x',
@@ -265,7 +265,9 @@
   });
 
   it('let an entry VM that cannot confirm them refuse requests, naming others, until it can', async () => {
-    deployment = await startReady(3, 1, { timings: { ...TEST_TIMINGS, settingsLeaseMs: 1200 } });
+    deployment = await startReadyDeployment(3, 1, {
+      timings: { ...TEST_TIMINGS, settingsLeaseMs: 1200 },
+    });
     const controls = ['vm1', 'vm2', 'vm3'];
     controls.forEach((vmId) => deployment.vm(vmId).process.signal('SIGSTOP'));
     const status = async () =>
--- a/packages/bench/__tests__/examples.spec.ts
+++ b/packages/bench/__tests__/examples.spec.ts
@@ -18,11 +18,11 @@
     assert.match(lines.at(-1) ?? '', /applies entry 3/);
   });
 
-  it('see a backend server come and leave', () => {
+  it('register a backend server and let it leave', () => {
     assert.deepEqual(collect(runMembership), ['announced: takes work', 'leaving: takes none']);
   });
 
-  it('choose the quicker chain and check a token', () => {
+  it('select the faster chain and verify a token', () => {
     assert.deepEqual(collect(runRouting), [
       'chain: quick -> rest',
       'token: sound',
@@ -30,7 +30,7 @@
     ]);
   });
 
-  it('resolve what is inherited and report all findings', () => {
+  it('resolve inherited settings and report all findings', () => {
     const lines = collect(runSettings);
     assert.deepEqual(lines.slice(0, 2), [
       'deadlineMs 5000 from /',
--- a/packages/bench/__tests__/fixtures.ts
+++ b/packages/bench/__tests__/fixtures.ts
@@ -9,7 +9,7 @@
 export const KALAHARI_TOKEN = 'token-of-kalahari';
 export const QUEBEC_TOKEN = 'token-of-quebec';
 
-/** Two organisations, one model, one service whose calls must not run twice unless they say so. */
+/** Two organisations, one model, and one service whose calls are not repeatable by default. */
 export function createTree(): SettingsTree {
   const services = { [MODEL]: {}, [SERVICE]: {} };
   return {
@@ -24,11 +24,11 @@
   };
 }
 
-/** Short, so that a test of elections is done soon. */
+/** Short timings, to keep the tests of elections fast. */
 export const TEST_TIMINGS = { electionTimeoutMs: 500, heartbeatIntervalMs: 60 };
 
-/** A deployment that takes requests, with the tree in force. */
-export async function startReady(
+/** Starts a deployment; resolves when it accepts requests with the settings tree in force. */
+export async function startReadyDeployment(
   controls: number,
   entries: number,
   options: Partial<DeploymentOptions> = {},
@@ -48,7 +48,7 @@
   }
 }
 
-/** Engines that hold the layers in three parts, `copies` of each part. */
+/** Starts engines that split the layers into three parts, with `copies` engines per part. */
 export async function startEngines(
   deployment: Deployment,
   copies: number,
--- a/packages/bench/__tests__/golden.spec.ts
+++ b/packages/bench/__tests__/golden.spec.ts
@@ -6,7 +6,7 @@
 import type { GoldenEnvironment } from '../src/golden';
 import { LAYERS } from './fixtures';
 
-describe('a whole session', () => {
+describe('a golden session', () => {
   let bench: GoldenEnvironment;
 
   before(async () => {
@@ -16,11 +16,11 @@
   after(() => bench.stop());
 
   Object.entries(GOLDEN_SCENARIOS).forEach(([name, scenario]) => {
-    it(`is as recorded: ${name}`, async () => {
+    it(`matches its recording: ${name}`, async () => {
       assert.equal(await bench.record(name, 'none'), readGolden(name));
     });
 
-    it(`was recorded right: ${name}`, () => {
+    it(`has a correct recording: ${name}`, () => {
       const golden = readGolden(name);
       assert.notEqual(golden, '');
       if (scenario.kind === 'stream') {
@@ -33,7 +33,7 @@
     });
   });
 
-  it('is as recorded when an engine is killed in the middle of it', async () => {
+  it('matches its recording when an engine is killed in the middle', async () => {
     assert.equal(await bench.record('quotation', 'engine-killed'), readGolden('quotation'));
     assert.equal(await bench.record('refund-reply', 'engine-killed'), readGolden('refund-reply'));
   });
--- a/packages/bench/__tests__/hostile.spec.ts
+++ b/packages/bench/__tests__/hostile.spec.ts
@@ -5,13 +5,13 @@
 import { callHttp } from '@spoolplank/node';
 import { callService, waitForBackendServers, waitUntil } from '..';
 import type { Deployment, RunningFake } from '..';
-import { KALAHARI_TOKEN, SERVICE, startReady } from './fixtures';
+import { KALAHARI_TOKEN, SERVICE, startReadyDeployment } from './fixtures';
 
-const QUIET_MS = 150;
+const IDLE_TIMEOUT_MS = 150;
 const RANDOM_REQUESTS = 300;
 const TARGET = `/v1/services/${SERVICE}/smuggled`;
 
-/** Sends bytes as they are and resolves with what comes back until it is quiet or closed. */
+/** Sends raw bytes; resolves with the bytes received until the connection is idle or closed. */
 function sendRaw(port: number, bytes: string): Promise<string> {
   return new Promise((resolve) => {
     const socket = connect(port, '127.0.0.1');
@@ -20,7 +20,7 @@
       socket.destroy();
       resolve(received);
     };
-    socket.setTimeout(QUIET_MS, finish);
+    socket.setTimeout(IDLE_TIMEOUT_MS, finish);
     socket.on('data', (chunk: Buffer) => {
       received += chunk.toString('latin1');
     });
@@ -30,8 +30,8 @@
   });
 }
 
-/** Forms in which one request is taken for two by a part of a chain of proxies. */
-const SMUGGLING: readonly string[] = [
+/** Ambiguous framing headers, for which proxies in a chain may disagree on where a request ends. */
+const SMUGGLING_HEADERS: readonly string[] = [
   'Content-Length: 4\r\nTransfer-Encoding: chunked',
   'Transfer-Encoding: chunked\r\nContent-Length: 4',
   'Content-Length: 4\r\nContent-Length: 5',
@@ -51,7 +51,7 @@
   let port: number;
 
   before(async () => {
-    deployment = await startReady(1, 1);
+    deployment = await startReadyDeployment(1, 1);
     service = await deployment.startService({
       name: 'service-1',
       service: SERVICE,
@@ -63,7 +63,7 @@
 
   after(() => deployment.stop());
 
-  async function assertWell(): Promise<void> {
+  async function assertAvailable(): Promise<void> {
     assert.ok(deployment.vms.every(({ process }) => process.isRunning));
     const metrics = await deployment.operatorText('vm2', '/metrics');
     assert.ok(!metrics.includes('code="internal"'), 'no input led to an unexpected error');
@@ -75,7 +75,7 @@
     assert.equal(answer.status, 200);
   }
 
-  it('smuggles no second request in, in any of the known forms', async () => {
+  it('cannot smuggle a second request in any of the known forms', async () => {
     const send = (headers: string, key: string) => {
       const inner = `POST ${TARGET} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer ${KALAHARI_TOKEN}\r\nIdempotency-Key: ${key}\r\nContent-Length: 0\r\n\r\n`;
       return sendRaw(
@@ -83,17 +83,20 @@
         `POST /v1/addresses HTTP/1.1\r\nHost: x\r\n${headers}\r\n\r\n0\r\n\r\n${inner}`,
       );
     };
-    for (const headers of SMUGGLING) await send(headers, 'smuggled');
-    // With honest headers the same bytes are two requests, so the second one would run.
+    for (const headers of SMUGGLING_HEADERS) await send(headers, 'smuggled');
+    // Control: with a valid `Content-Length` the same bytes are two requests, and the second runs.
     await send('Content-Length: 5', 'pipelined');
     const countOf = async (key: string) =>
       ((await service.get('/-/executions')) as Readonly<Record<string, number>>)[key];
-    await waitUntil('the honest one has run', async () => (await countOf('pipelined')) === 1);
+    await waitUntil(
+      'the pipelined request has run',
+      async () => (await countOf('pipelined')) === 1,
+    );
     assert.equal(await countOf('smuggled'), undefined);
-    await assertWell();
+    await assertAvailable();
   });
 
-  it('of any shape is refused, and the VM goes on', async () => {
+  it('of any shape is rejected, and the VM stays available', async () => {
     const path = fc.constantFrom(
       '/v1/chat/completions',
       '/v1/completions',
@@ -139,10 +142,10 @@
       if (status >= 400) refused += 1;
     }
     assert.ok(refused > RANDOM_REQUESTS / 2);
-    await assertWell();
+    await assertAvailable();
   });
 
-  it('without the key gets nothing from the listener of the VMs', async () => {
+  it('without the shared key is rejected by the peer listener', async () => {
     const { host, peerPort } = deployment.vm('vm1').address;
     const bodies = [
       '{"jsonrpc":"2.0","method":"control.status","id":1}',
@@ -159,17 +162,17 @@
       });
       assert.equal(answer.status, 403);
     }
-    await assertWell();
+    await assertAvailable();
   });
 
-  it('that comes slowly or never ends holds nobody up', async () => {
-    const half = `POST ${TARGET} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer ${KALAHARI_TOKEN}\r\nContent-Length: 1000\r\n\r\nabc`;
+  it('that arrives slowly or stays incomplete blocks no other request', async () => {
+    const partialRequest = `POST ${TARGET} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer ${KALAHARI_TOKEN}\r\nContent-Length: 1000\r\n\r\nabc`;
     const sockets = Array.from({ length: 50 }, () => connect(port, '127.0.0.1'));
     sockets.forEach((socket) => {
       socket.on('error', () => {});
-      socket.write(half);
+      socket.write(partialRequest);
     });
-    await assertWell();
+    await assertAvailable();
     sockets.forEach((socket) => socket.destroy());
     const executions = (await service.get('/-/executions')) as Readonly<Record<string, number>>;
     assert.ok(Object.keys(executions).every((key) => key !== 'smuggled'));
--- a/packages/bench/__tests__/lateDriver.spec.ts
+++ b/packages/bench/__tests__/lateDriver.spec.ts
@@ -3,24 +3,24 @@
 import { expectedAnswer } from '@spoolplank/fakes';
 import { chatPrompt, streamCompletion, waitForBackendServers, waitUntil } from '..';
 import type { Deployment, RunningFake } from '..';
-import { KALAHARI_TOKEN, LAYERS, MODEL, startReady } from './fixtures';
+import { KALAHARI_TOKEN, LAYERS, MODEL, startReadyDeployment } from './fixtures';
 
 const PROMPT = 'write a collection note for the quarry';
 const TOKENS = 80;
-const STOP_AT = 25;
+const FREEZE_POSITION = 25;
 
-interface Run {
+interface LayerRun {
   readonly handle: string;
   readonly fromPosition: number;
   readonly toPosition: number;
 }
 
-describe('an entry VM that comes back to a session that another has taken over', () => {
+describe('an entry VM that continues a session after another VM has taken it over', () => {
   let deployment: Deployment;
   let engines: readonly RunningFake[];
 
   before(async () => {
-    deployment = await startReady(1, 2);
+    deployment = await startReadyDeployment(1, 2);
     engines = await Promise.all(
       [0, 1].map((part) =>
         deployment.startEngine({
@@ -30,7 +30,7 @@
           firstLayer: part * 6,
           lastLayer: part * 6 + 5,
           announceIntervalMs: 300,
-          // The worst kind: it takes orders with old fencing numbers too.
+          // The worst case: the engine also accepts orders with stale fencing numbers.
           isFencingChecked: false,
         }),
       ),
@@ -44,7 +44,7 @@
     const frozen = deployment.vm('vm2').process;
     let lastEventId = '';
     let text = '';
-    const ask = (vmId: string, resumeAfter?: string) =>
+    const streamFrom = (vmId: string, resumeAfter?: string) =>
       streamCompletion({
         address: deployment.vm(vmId).callerAddress,
         token: KALAHARI_TOKEN,
@@ -54,27 +54,27 @@
         lastEventId: resumeAfter,
         onEvent(event) {
           if (lastEventId !== '' || resumeAfter !== undefined) return;
-          if (event.position === STOP_AT) {
+          if (event.position === FREEZE_POSITION) {
             frozen.signal('SIGSTOP');
             lastEventId = event.id;
           }
           text += event.text;
         },
       });
-    const first = ask('vm2');
-    await waitUntil('the driver is frozen', () => lastEventId !== '');
-    const rest = await ask('vm3', lastEventId);
+    const first = streamFrom('vm2');
+    await waitUntil('the first entry VM is frozen', () => lastEventId !== '');
+    const rest = await streamFrom('vm3', lastEventId);
     assert.equal(rest.isWhole, true);
     assert.equal(text + rest.text, expectedAnswer(chatPrompt(PROMPT), LAYERS, TOKENS));
-    // The old driver goes on where it was, beside the new one's finished attempt.
+    // The frozen VM continues its attempt after the other VM has completed the session.
     frozen.signal('SIGCONT');
     await first;
-    const again = await ask('vm3', lastEventId);
+    const again = await streamFrom('vm3', lastEventId);
     assert.equal(again.text, rest.text);
     for (const engine of engines) {
-      const runs = (await engine.get('/record')) as unknown as readonly Run[];
+      const runs = (await engine.get('/record')) as unknown as readonly LayerRun[];
       const handles = [...new Set(runs.map(({ handle }) => handle))];
-      assert.ok(handles.length >= 2, 'each attempt has a handle of its own');
+      assert.ok(handles.length >= 2, 'each attempt has its own handle');
       handles.forEach((handle) => {
         let next = 0;
         runs
--- a/packages/bench/__tests__/limitedService.spec.ts
+++ b/packages/bench/__tests__/limitedService.spec.ts
@@ -3,7 +3,7 @@
 import { delay } from '@spoolplank/node';
 import { callService, waitForBackendServers } from '..';
 import type { Deployment, RunningFake } from '..';
-import { KALAHARI_TOKEN, SERVICE, startReady } from './fixtures';
+import { KALAHARI_TOKEN, SERVICE, startReadyDeployment } from './fixtures';
 
 const LIMIT_PER_S = 3;
 const CONTROL_VMS = 3;
@@ -11,7 +11,7 @@
 const WINDOW_MS = 4000;
 const MS_PER_S = 1000;
 const CALLING_MS = 7000;
-const CALL_EVERY_MS = 40;
+const CALL_INTERVAL_MS = 40;
 
 interface TimedAnswer {
   readonly atMs: number;
@@ -20,12 +20,12 @@
   readonly retryAfterS: number;
 }
 
-describe('a plain service of which a server names a limit', () => {
+describe('a plain service with a server that announces a rate limit', () => {
   let deployment: Deployment;
   let services: readonly RunningFake[];
 
   before(async () => {
-    deployment = await startReady(CONTROL_VMS, ENTRY_VMS);
+    deployment = await startReadyDeployment(CONTROL_VMS, ENTRY_VMS);
     services = await Promise.all(
       ['service-1', 'service-2'].map((name) =>
         deployment.startService({ name, service: SERVICE, announceIntervalMs: 300 }),
@@ -50,18 +50,18 @@
     return { atMs: performance.now(), status: answer.status, servedBy: served, retryAfterS };
   }
 
-  /** Calls all entry VMs in turn for a time. */
+  /** Calls the entry VMs round-robin for a time. */
   async function callFor(durationMs: number): Promise<readonly TimedAnswer[]> {
     const answers: Promise<TimedAnswer>[] = [];
     const endsAtMs = performance.now() + durationMs;
     while (performance.now() < endsAtMs) {
       answers.push(call(answers.length));
-      await delay(CALL_EVERY_MS);
+      await delay(CALL_INTERVAL_MS);
     }
     return Promise.all(answers);
   }
 
-  function countInWorstWindow(times: readonly number[]): number {
+  function maxCountInWindow(times: readonly number[]): number {
     const counts = times.map(
       (endMs) => times.filter((atMs) => atMs > endMs - WINDOW_MS && atMs <= endMs).length,
     );
@@ -77,12 +77,12 @@
       .filter(({ servedBy, atMs }) => servedBy === 'service-1' && atMs > startedAtMs + MS_PER_S)
       .map(({ atMs }) => atMs);
     const allowed = (1.1 * LIMIT_PER_S * WINDOW_MS) / MS_PER_S + 2;
-    assert.ok(times.length > 0, 'it got nothing');
-    const worst = countInWorstWindow(times);
-    assert.ok(worst <= allowed, `${worst} of ${allowed} in a window`);
+    assert.ok(times.length > 0, 'the limited server received no request');
+    const maxCount = maxCountInWindow(times);
+    assert.ok(maxCount <= allowed, `${maxCount} of ${allowed} in a window`);
   });
 
-  it('refuses at once what no server may be sent, and says when its turn is', async () => {
+  it('refuses requests above the limits of all servers at once, and says when to retry', async () => {
     await services[1]?.post('/-/faults', { limitPerS: LIMIT_PER_S });
     const answers = await callFor(CALLING_MS);
     const startedAtMs = answers[0]?.atMs ?? 0;
@@ -93,7 +93,7 @@
     const allowed = 2 * (1.1 * LIMIT_PER_S * steadyS + 2);
     assert.ok(served.length <= allowed, `${served.length} of ${allowed} served`);
     assert.ok(served.length >= 0.8 * 2 * LIMIT_PER_S * steadyS, `${served.length} served`);
-    assert.ok(refused.length > 0, 'nothing was refused');
-    refused.forEach(({ retryAfterS }) => assert.ok(retryAfterS > 0, 'no time to come back'));
+    assert.ok(refused.length > 0, 'no request was refused');
+    refused.forEach(({ retryAfterS }) => assert.ok(retryAfterS > 0, 'no retry-after header'));
   });
 });
--- a/packages/bench/__tests__/path.spec.ts
+++ b/packages/bench/__tests__/path.spec.ts
@@ -19,7 +19,7 @@
   QUEBEC_TOKEN,
   SERVICE,
   startEngines,
-  startReady,
+  startReadyDeployment,
 } from './fixtures';
 
 const PROMPT = 'draft a quotation for two skips';
@@ -31,7 +31,7 @@
   let engines: readonly RunningFake[];
 
   before(async () => {
-    deployment = await startReady(3, 1);
+    deployment = await startReadyDeployment(3, 1);
     engines = await startEngines(deployment, 1);
     service = await deployment.startService({
       name: 'service-1',
@@ -86,7 +86,7 @@
     }
   });
 
-  it('gives the same answer in one piece when it is not streamed', async () => {
+  it('returns the same answer in one response when it is not streamed', async () => {
     const body = { model: MODEL, prompt: PROMPT, max_tokens: TOKENS };
     const { status, json } = await callJson({
       endpoint: parseAddress(address()),
@@ -129,13 +129,13 @@
     );
   });
 
-  it('names every entry VM that takes requests', async () => {
+  it('lists every entry VM that accepts requests', async () => {
     const { addresses, keepMs } = await fetchAddresses(address());
     assert.deepEqual(addresses.map((one) => one.address).sort(), [...deployment.addresses].sort());
     assert.ok(keepMs > 0);
   });
 
-  it('refuses as not run, with a clear error, what it cannot take', async () => {
+  it('rejects invalid requests as not run, each with its error code', async () => {
     const countBefore = await executions();
     const chat = '/v1/chat/completions';
     const messages = [{ role: 'user', content: 'x' }];
@@ -174,10 +174,10 @@
       const { status: gotStatus, code: gotCode, outcome } = await answer;
       assert.deepEqual([gotStatus, gotCode, outcome], [status, code, 'not-run']);
     }
-    assert.equal(await executions(), countBefore, 'none of it reached the service');
+    assert.equal(await executions(), countBefore, 'no rejected request reached the service');
   });
 
-  it('goes on with a session at another entry VM, without gap or repeat', async () => {
+  it('resumes a session at another entry VM, without gap or repeat', async () => {
     const whole = await stream();
     const [first = '', second = ''] = deployment.addresses;
     const begun = await streamCompletion({
@@ -190,7 +190,7 @@
     const position = 4;
     const digest = begun.lastEventId.split(':')[0] ?? '';
     const ids: string[] = [];
-    // The id of an earlier event, as a caller whose connection broke there would have it.
+    // The id of an earlier event, as known to a caller whose connection broke at that event.
     const replay = await callHttp({
       endpoint: parseAddress(second),
       method: 'POST',
@@ -229,7 +229,7 @@
     await assert.rejects(resume, { code: 'unknown-session', outcome: 'not-run' });
   });
 
-  it('refuses to go on after an event that the session did not have', async () => {
+  it('refuses to resume after an event that the session did not have', async () => {
     const { lastEventId } = await stream();
     const forged = lastEventId.replace(/:[0-9a-f]{8}$/, ':00000000');
     await assert.rejects(
@@ -245,7 +245,7 @@
     );
   });
 
-  it('lets go of every stage when the caller goes away in the middle', async () => {
+  it('releases every stage when the caller disconnects during a stream', async () => {
     const body = JSON.stringify({
       model: MODEL,
       stream: true,
@@ -276,7 +276,7 @@
     assert.equal((await stream()).isWhole, true);
   });
 
-  it('tells its state on request, by HTTP and by command, and to operators only', async () => {
+  it('reports its state over HTTP and by command, to operators only', async () => {
     const { code, output } = await deployment.command(['dump'], 'vm4');
     assert.equal(code, 0);
     const dump = JSON.parse(output) as { vm: { vmId: string }; directory: readonly unknown[] };
--- a/packages/bench/__tests__/proofs.spec.ts
+++ b/packages/bench/__tests__/proofs.spec.ts
@@ -32,7 +32,7 @@
     );
   });
 
-  it('has planted faults whose places in the code are found', () => {
+  it('lists mutations whose text to replace occurs exactly once', () => {
     const faults = JSON.parse(readFileSync('scripts/mutations.json', 'utf8')) as readonly {
       name: string;
       file: string;
--- a/packages/bench/__tests__/requestFaults.spec.ts
+++ b/packages/bench/__tests__/requestFaults.spec.ts
@@ -3,7 +3,7 @@
 import { delay } from '@spoolplank/node';
 import { callService, waitForBackendServers, waitUntil } from '..';
 import type { Deployment, RunningFake } from '..';
-import { KALAHARI_TOKEN, SERVICE, startReady } from './fixtures';
+import { KALAHARI_TOKEN, SERVICE, startReadyDeployment } from './fixtures';
 
 interface Answer {
   readonly status: number;
@@ -12,15 +12,15 @@
   readonly served?: string;
 }
 
-/** Refusals that hold for a moment only, as beside other load; each says when to come back. */
-const TEMPORARY = new Set(['claims-unavailable', 'settings-stale']);
+/** Refusals that are temporary, for example under load; each has a `retryAfterMs`. */
+const TEMPORARY_CODES = new Set(['claims-unavailable', 'settings-stale']);
 
 describe('requests that must not run twice', () => {
   let deployment: Deployment;
   let services: readonly RunningFake[];
 
   before(async () => {
-    deployment = await startReady(3, 2);
+    deployment = await startReadyDeployment(3, 2);
     services = await Promise.all(
       ['service-1', 'service-2'].map((name) =>
         deployment.startService({ name, service: SERVICE, announceIntervalMs: 300 }),
@@ -91,7 +91,7 @@
     }
   });
 
-  it('are answered as not run, truly, when every backend server refused them, and can be sent again', async () => {
+  it('are answered as not run when every backend server refused them, and can be sent again', async () => {
     await setFaults({ failure: 'before' });
     const refused = await call('later');
     assert.deepEqual([refused.status, refused.outcome], [503, 'not-run']);
@@ -114,14 +114,14 @@
     });
   }
 
-  it('are run again after such a death when they say that they are repeatable', async () => {
+  it('are run again after such a failure when they are marked as repeatable', async () => {
     await setFaults({ failure: 'during', remaining: 1 });
     const answer = await call('repeatable', 3, { 'spoolplank-repeatable': 'true' });
     assert.equal(answer.status, 200);
     await setFaults({ failure: 'none', remaining: 1e9 });
   });
 
-  it('refuse a key that was used for another request', async () => {
+  it('are rejected when their key was used for another request', async () => {
     await call('mine');
     const answer = await callService({
       address: deployment.addresses[4] ?? '',
@@ -133,7 +133,7 @@
     assert.equal(answer.status, 422);
   });
 
-  it('refuse a key that is older than keys are kept', async () => {
+  it('are rejected when their key is older than the retention of keys', async () => {
     const { code, outcome } = await call('01000000-0000-7000-8000-000000000000');
     assert.deepEqual([code, outcome], ['key-expired', 'not-run']);
   });
@@ -146,22 +146,22 @@
     assert.equal(await executions('no-quorum'), 0);
     controls.forEach((vmId) => deployment.vm(vmId).process.signal('SIGCONT'));
     await waitUntil(
-      'the key, perhaps claimed, was given back',
+      'the key is free again, in case it had been claimed',
       async () => (await call('no-quorum', 4)).status === 200,
     );
     assert.equal(await executions('no-quorum'), 1);
   });
 
-  it('are never run by another entry VM after theirs died in the middle', async () => {
+  it('are never run by another entry VM after theirs crashed during the call', async () => {
     await setFaults({ durationMs: 700, failure: 'none' });
     const pending = call('entry-dies', 4).catch(() => null);
     await waitUntil('the service runs it', async () => (await executions('entry-dies')) === 1);
     await deployment.vm('vm5').process.end('SIGKILL');
     await pending;
-    // A VM that cannot decide a claim now says so, and to come back; what it never says is that it
-    // may run again.
+    // A VM that cannot decide a claim answers with a temporary refusal, but never says that the
+    // request may run again.
     let answer = await call('entry-dies', 3);
-    for (let tries = 0; tries < 50 && TEMPORARY.has(answer.code ?? ''); tries += 1) {
+    for (let tries = 0; tries < 50 && TEMPORARY_CODES.has(answer.code ?? ''); tries += 1) {
       await delay(100);
       answer = await call('entry-dies', 3);
     }
@@ -174,12 +174,12 @@
   let deployment: Deployment;
 
   before(async () => {
-    deployment = await startReady(1, 2);
+    deployment = await startReadyDeployment(1, 2);
   });
 
   after(() => deployment.stop());
 
-  it('of a backend server ends new work there, and loses none', async () => {
+  it('of a backend server stops new requests to it, and loses none', async () => {
     const leaving = await deployment.startService({
       name: 'leaving',
       service: SERVICE,
@@ -232,13 +232,13 @@
       });
     const running = Array.from({ length: 6 }, (_unused, index) => call(`running-${index}`));
     await waitUntil(
-      'a slow one runs',
+      'a slow call is running',
       async () => Object.keys((await service.get('/-/executions')) as object).length > 0,
     );
     const { process } = deployment.vm('vm3');
     process.signal('SIGTERM');
-    // Each probe that is still taken runs long enough for the next ones to meet the shutdown:
-    // waiting for one before the next is sent, as this test once did, could outlive the VM.
+    // Probes are sent without waiting for the previous one: an accepted probe can run for longer
+    // than the VM, which would end before the next probe could be refused.
     const probes: Promise<void>[] = [];
     let refusal: { outcome: string; addresses: readonly string[] } | undefined;
     await waitUntil('new requests are refused', () => {
--- a/packages/bench/__tests__/sessionFaults.spec.ts
+++ b/packages/bench/__tests__/sessionFaults.spec.ts
@@ -3,13 +3,13 @@
 import { expectedAnswer } from '@spoolplank/fakes';
 import { chatPrompt, streamCompletion, waitForBackendServers, waitUntil } from '..';
 import type { Deployment, RunningFake, StreamedAnswer } from '..';
-import { KALAHARI_TOKEN, LAYERS, MODEL, startEngines, startReady } from './fixtures';
+import { KALAHARI_TOKEN, LAYERS, MODEL, startEngines, startReadyDeployment } from './fixtures';
 
 const PROMPT = 'summarise the permit of the quarry';
 const TOKENS = 60;
 const EXPECTED = expectedAnswer(chatPrompt(PROMPT), LAYERS, TOKENS);
 
-interface Run {
+interface LayerRun {
   readonly session: string;
 }
 
@@ -18,7 +18,7 @@
   let engines: RunningFake[];
 
   before(async () => {
-    deployment = await startReady(3, 2);
+    deployment = await startReadyDeployment(3, 2);
     engines = [...(await startEngines(deployment, 2))];
     await waitForBackendServers(deployment, 6);
   });
@@ -36,8 +36,8 @@
     });
   }
 
-  /** The engine of a part of the layers that works for the newest session. */
-  async function findWorking(part: number): Promise<RunningFake> {
+  /** The engine of a layer part with the most sessions, which runs the stream under test. */
+  async function findBusiestEngine(part: number): Promise<RunningFake> {
     const candidates = engines.filter(
       ({ name, process }) => name.startsWith(`engine-${part}`) && process.isRunning,
     );
@@ -49,13 +49,13 @@
     return candidates[counts.indexOf(Math.max(...counts))] ?? (candidates[0] as RunningFake);
   }
 
-  /** How often sessions changed their chain, on the VM that drives them here. */
-  async function readMoves(): Promise<number> {
+  /** Number of times that sessions on the called VM moved to another chain. */
+  async function readMoveCount(): Promise<number> {
     const text = await deployment.operatorText('vm4', '/metrics');
     return Number(/^spoolplank_session_moves_total (\d+)$/m.exec(text)?.[1] ?? 0);
   }
 
-  async function startAgain(engine: RunningFake): Promise<void> {
+  async function restartEngine(engine: RunningFake): Promise<void> {
     const part = Number(engine.name.split('-')[1]);
     const started = await deployment.startEngine({
       name: engine.name,
@@ -68,9 +68,9 @@
     engines = engines.map((other) => (other.name === engine.name ? started : other));
   }
 
-  /** Starts engines again that were killed, all before any is waited for: no other one runs. */
-  async function replace(...killed: readonly RunningFake[]): Promise<void> {
-    for (const engine of killed) await startAgain(engine);
+  /** Restarts all killed engines before waiting, because the wait expects the full number. */
+  async function restartAll(...killed: readonly RunningFake[]): Promise<void> {
+    for (const engine of killed) await restartEngine(engine);
     await waitForBackendServers(deployment, 6);
   }
 
@@ -81,13 +81,13 @@
         let killing: Promise<unknown> = Promise.resolve();
         const answer = await stream((position) => {
           if (position !== at) return;
-          killing = findWorking(part).then((engine) => {
+          killing = findBusiestEngine(part).then((engine) => {
             killed = engine;
             return engine.process.end('SIGKILL');
           });
         });
         await killing;
-        if (killed) await replace(killed);
+        if (killed) await restartAll(killed);
         assert.equal(answer.text, EXPECTED);
         assert.equal(answer.isWhole, true);
       });
@@ -98,7 +98,7 @@
     const killed: RunningFake[] = [];
     const kills: Promise<unknown>[] = [];
     const kill = async (part: number) => {
-      const engine = await findWorking(part);
+      const engine = await findBusiestEngine(part);
       killed.push(engine);
       await engine.process.end('SIGKILL');
     };
@@ -107,7 +107,7 @@
       if (position === 30) kills.push(kill(2));
     });
     await Promise.all(kills);
-    await replace(...killed);
+    await restartAll(...killed);
     assert.equal(answer.text, EXPECTED);
   });
 
@@ -115,7 +115,7 @@
     let frozen: RunningFake | undefined;
     const answer = await stream((position) => {
       if (position !== 20) return;
-      void findWorking(1).then((engine) => {
+      void findBusiestEngine(1).then((engine) => {
         frozen = engine;
         engine.process.signal('SIGSTOP');
       });
@@ -127,41 +127,41 @@
   });
 
   it('moves away from a link that has become slow, once, and gives its whole answer', async () => {
-    const long = 120;
+    const tokenCount = 120;
     let slowed: RunningFake | undefined;
-    const movesBefore = await readMoves();
+    const movesBefore = await readMoveCount();
     const answer = await streamCompletion({
       address: deployment.addresses[3] ?? '',
       token: KALAHARI_TOKEN,
       model: MODEL,
       prompt: PROMPT,
-      maxTokens: long,
+      maxTokens: tokenCount,
       onToken(position) {
         if (position !== 30) return;
-        void findWorking(1).then(async (engine) => {
+        void findBusiestEngine(1).then(async (engine) => {
           slowed = engine;
           await engine.post('/faults', { linkDelayMs: 150 });
         });
       },
     });
-    assert.equal(answer.text, expectedAnswer(chatPrompt(PROMPT), LAYERS, long));
-    assert.equal((await readMoves()) - movesBefore, 1);
+    assert.equal(answer.text, expectedAnswer(chatPrompt(PROMPT), LAYERS, tokenCount));
+    assert.equal((await readMoveCount()) - movesBefore, 1);
     await slowed?.post('/faults', { linkDelayMs: 0.5 });
   });
 
   it('does not take an answer for whole that an engine ended early', async () => {
-    const early = await findWorking(0);
-    await early.post('/faults', { endAfter: 20 });
+    const endingEngine = await findBusiestEngine(0);
+    await endingEngine.post('/faults', { endAfter: 20 });
     const answers = [await stream(), await stream()];
-    await early.post('/faults', { endAfter: null });
+    await endingEngine.post('/faults', { endAfter: null });
     answers.forEach(({ text }) => assert.equal(text, EXPECTED));
   });
 
-  it('sends on no token of an engine that leaves layers out', async () => {
+  it('forwards no token of an engine that skips layers', async () => {
     const [first] = engines;
     assert.ok(first);
-    const liar = await deployment.startEngine({
-      name: 'liar',
+    const faultyEngine = await deployment.startEngine({
+      name: 'faulty-engine',
       firstLayer: 0,
       lastLayer: 3,
       model: MODEL,
@@ -169,20 +169,20 @@
       stepBaseMs: 0.1,
       announceIntervalMs: 300,
     });
-    await liar.post('/faults', { skippedLayer: 2 });
+    await faultyEngine.post('/faults', { skippedLayer: 2 });
     await waitForBackendServers(deployment, 7);
     const answer = await stream();
     assert.equal(answer.text, EXPECTED);
-    const runs = (await liar.get('/record')) as unknown as readonly Run[];
+    const runs = (await faultyEngine.get('/record')) as unknown as readonly LayerRun[];
     assert.ok(
       runs.some(({ session }) => session === answer.sessionId),
-      'the liar was asked first',
+      'the faulty engine ran the session first',
     );
-    await liar.process.end('SIGTERM');
+    await faultyEngine.process.end('SIGTERM');
     await waitForBackendServers(deployment, 6);
   });
 
-  it('goes on at another entry VM when its own dies, without gap or repeat', async () => {
+  it('is resumed at another entry VM when its own crashes, without gap or repeat', async () => {
     let text = '';
     const first = await stream((position) => {
       if (position === 30) void deployment.vm('vm5').process.end('SIGKILL');
@@ -208,7 +208,7 @@
     );
   });
 
-  it('gets a final answer that it can be resumed after, when no engine is left, and resumes', async () => {
+  it('ends with an error that allows resuming when no engine is left, and is resumed', async () => {
     const part = engines.filter(({ name }) => name.startsWith('engine-1'));
     const broken = await stream((position) => {
       if (position === 15) part.forEach((engine) => engine.process.signal('SIGKILL'));
@@ -217,7 +217,7 @@
     const error = broken.error as { code: string; retryAfterMs: number };
     assert.equal(error.code, 'no-backend-server');
     assert.ok(error.retryAfterMs > 0);
-    for (const engine of part) await startAgain(engine);
+    for (const engine of part) await restartEngine(engine);
     await waitForBackendServers(deployment, 6);
     const rest = await streamCompletion({
       address: deployment.addresses[0] ?? '',
