--- a/packages/bench/src/deployment.ts
+++ b/packages/bench/src/deployment.ts
@@ -212,8 +212,8 @@
       const found = vm(vmId);
       found.process = startVmProcess(found.address, found.settingsFile);
     },
-    startEngine: (given) => startFake('engine', given),
-    startService: (given) => startFake('service', given),
+    startEngine: (overrides) => startFake('engine', overrides),
+    startService: (overrides) => startFake('service', overrides),
     async command(args, vmId) {
       commandCount += 1;
       const lines: string[] = [];
--- a/packages/fakes/src/engine.ts
+++ b/packages/fakes/src/engine.ts
@@ -35,8 +35,8 @@
 
 type Route = (request: IncomingMessage, response: ServerResponse, url: URL) => Promise<void> | void;
 
-export async function startFakeEngine(given: Partial<FakeEngineOptions>): Promise<FakeEngine> {
-  const options: FakeEngineOptions = { ...DEFAULT_ENGINE_OPTIONS, ...given };
+export async function startFakeEngine(overrides: Partial<FakeEngineOptions>): Promise<FakeEngine> {
+  const options: FakeEngineOptions = { ...DEFAULT_ENGINE_OPTIONS, ...overrides };
   const faults: EngineFaults = {
     linkDelayMs: options.linkDelayMs,
     linkBytesPerS: options.linkBytesPerS,
--- a/packages/fakes/src/engineStage.ts
+++ b/packages/fakes/src/engineStage.ts
@@ -81,15 +81,15 @@
   let receiveHop: (hop: Hop) => void = () => {};
 
   function reportProblem(hop: Hop, problem: string): void {
-    const back: Hop = {
+    const problemHop: Hop = {
       ...hop,
       kind: 'problem',
       stageIndex: 0,
       activations: [],
       problem,
     };
-    if (hop.stageIndex === 0) receiveHop(back);
-    else linkTo(hop, 0).send(back);
+    if (hop.stageIndex === 0) receiveHop(problemHop);
+    else linkTo(hop, 0).send(problemHop);
   }
 
   function record(hop: Hop): void {
@@ -124,7 +124,7 @@
     }
     const tokenId = sample(activations.at(-1) ?? 0);
     const fromPosition = hop.fromPosition + activations.length;
-    const back: Hop = {
+    const tokenHop: Hop = {
       ...hop,
       kind: 'token',
       stageIndex: 0,
@@ -132,8 +132,8 @@
       activations: [tokenId],
       lineage,
     };
-    if (hop.stages.length === 1) receiveHop(back);
-    else linkTo(hop, 0).send(back);
+    if (hop.stages.length === 1) receiveHop(tokenHop);
+    else linkTo(hop, 0).send(tokenHop);
   }
 
   function runLayers(hop: Hop): void {
--- a/packages/fakes/src/plainService.ts
+++ b/packages/fakes/src/plainService.ts
@@ -66,8 +66,10 @@
 
 const MAX_BODY_BYTES = 67_108_864;
 
-export async function startFakeService(given: Partial<FakeServiceOptions>): Promise<FakeService> {
-  const options = { ...DEFAULT_SERVICE_OPTIONS, ...given };
+export async function startFakeService(
+  overrides: Partial<FakeServiceOptions>,
+): Promise<FakeService> {
+  const options = { ...DEFAULT_SERVICE_OPTIONS, ...overrides };
   const executions = new Map<string, number>();
   const faults: ServiceFaults = {
     durationMs: options.durationMs,
--- a/packages/fakes/src/weightStore.ts
+++ b/packages/fakes/src/weightStore.ts
@@ -27,9 +27,9 @@
  * layers takes.
  */
 export async function startFakeWeightStore(
-  given: Partial<FakeWeightStoreOptions> = {},
+  overrides: Partial<FakeWeightStoreOptions> = {},
 ): Promise<FakeWeightStore> {
-  const options = { ...DEFAULT_WEIGHT_STORE_OPTIONS, ...given };
+  const options = { ...DEFAULT_WEIGHT_STORE_OPTIONS, ...overrides };
   let idleAtMs = 0;
   const server = await listen({
     ...options,
