--- a/packages/bench/src/benches/config.ts
+++ b/packages/bench/src/benches/config.ts
@@ -66,7 +66,7 @@
   return {
     waitForVersion: (version) =>
       waitUntil(`version ${version} is in force`, () => versions.every((one) => one >= version), {
-        everyMs: POLL_MS,
+        intervalMs: POLL_MS,
         withinMs: 60_000,
       }),
     async stop() {
--- a/packages/bench/src/benches/state.ts
+++ b/packages/bench/src/benches/state.ts
@@ -32,9 +32,9 @@
 } {
   collectGarbage();
   const before = process.memoryUsage().heapUsed;
-  const made = factory();
+  const created = factory();
   collectGarbage();
-  return { bytes: process.memoryUsage().heapUsed - before, created: made };
+  return { bytes: process.memoryUsage().heapUsed - before, created };
 }
 
 function measureUs(times: number, run: (index: number) => void): number {
--- a/packages/bench/src/childProcess.ts
+++ b/packages/bench/src/childProcess.ts
@@ -103,16 +103,16 @@
   description: string,
   condition: () => Promise<boolean> | boolean,
   {
-    withinMs: timeoutMs = 20_000,
-    everyMs: intervalMs = 20,
-  }: { readonly withinMs?: number; readonly everyMs?: number } = {},
+    withinMs = 20_000,
+    intervalMs = 20,
+  }: { readonly withinMs?: number; readonly intervalMs?: number } = {},
 ): Promise<void> {
-  const deadlineAtMs = performance.now() + timeoutMs;
+  const deadlineAtMs = performance.now() + withinMs;
   for (;;) {
     const holds = await Promise.resolve(condition()).catch(() => false);
     if (holds) return;
     if (performance.now() > deadlineAtMs)
-      throw new Error(`waited ${timeoutMs} ms in vain until ${description}`);
+      throw new Error(`waited ${withinMs} ms in vain until ${description}`);
     await delay(intervalMs);
   }
 }
