--- a/packages/bench/__tests__/path.spec.ts
+++ b/packages/bench/__tests__/path.spec.ts
@@ -2,7 +2,7 @@
 import { readdirSync, readlinkSync } from 'node:fs';
 import { after, before, describe, it } from 'node:test';
 import { expectedAnswer } from '@spoolplank/fakes';
-import { callHttp, callJson, openCall, parseAddress } from '@spoolplank/node';
+import { callHttp, callJson, sendHttpRequest, parseAddress } from '@spoolplank/node';
 import {
   fetchAddresses,
   callService,
@@ -252,7 +252,7 @@
       max_tokens: 2000,
       messages: [{ role: 'user', content: PROMPT }],
     });
-    const response = await openCall({
+    const response = await sendHttpRequest({
       endpoint: parseAddress(address()),
       method: 'POST',
       path: '/v1/chat/completions',
--- a/packages/bench/src/benches/detection.ts
+++ b/packages/bench/src/benches/detection.ts
@@ -2,8 +2,8 @@
  * Failure detection: distinguishes a slow chain from a failed one by a fixed timeout, an adaptive
  * one, and an adaptive one that probes the stages first, on a seeded trace of token intervals.
  */
-import { createStagePatience } from '@spoolplank/entry';
-import type { StagePatience } from '@spoolplank/entry';
+import { createChainFailureDetector } from '@spoolplank/entry';
+import type { ChainFailureDetector } from '@spoolplank/entry';
 import { createManualClock, createSeededRandom } from '@spoolplank/shared';
 import type { ManualClock, Random } from '@spoolplank/shared';
 import type { Figure } from '../figures';
@@ -24,9 +24,9 @@
 interface Detector {
   readonly name: string;
   /** Timeout if all stages are healthy and merely slow. */
-  busyLimitMs(patience: StagePatience, clock: ManualClock): number;
+  busyLimitMs(chainDetector: ChainFailureDetector, clock: ManualClock): number;
   /** Timeout if a stage has failed. */
-  deadLimitMs(patience: StagePatience, clock: ManualClock): number;
+  deadLimitMs(chainDetector: ChainFailureDetector, clock: ManualClock): number;
 }
 
 const DETECTORS: readonly Detector[] = [
@@ -37,13 +37,14 @@
   })),
   {
     name: 'learnt',
-    busyLimitMs: (patience, clock) => patience.suspectAtMs() - clock.nowMs(),
-    deadLimitMs: (patience, clock) => patience.suspectAtMs() - clock.nowMs(),
+    busyLimitMs: (chainDetector, clock) => chainDetector.suspectAtMs() - clock.nowMs(),
+    deadLimitMs: (chainDetector, clock) => chainDetector.suspectAtMs() - clock.nowMs(),
   },
   {
     name: 'learnt-and-asked',
-    busyLimitMs: (patience, clock) => patience.giveUpAtMs() - clock.nowMs(),
-    deadLimitMs: (patience, clock) => patience.suspectAtMs() - clock.nowMs() + PROBE_LIMIT_MS,
+    busyLimitMs: (chainDetector, clock) => chainDetector.giveUpAtMs() - clock.nowMs(),
+    deadLimitMs: (chainDetector, clock) =>
+      chainDetector.suspectAtMs() - clock.nowMs() + PROBE_LIMIT_MS,
   },
 ];
 
@@ -69,15 +70,19 @@
   const detectionMs: number[] = [];
   for (let session = 0; session < SESSIONS; session += 1) {
     const clock = createManualClock();
-    const patience = createStagePatience({ clock, estimatedStepMs: STEP_MS, prefillTokens: 0 });
+    const chainDetector = createChainFailureDetector({
+      clock,
+      estimatedStepMs: STEP_MS,
+      prefillTokens: 0,
+    });
     const isTimedOut = (gapMs: number) => {
-      const isLate = gapMs > detector.busyLimitMs(patience, clock);
+      const isLate = gapMs > detector.busyLimitMs(chainDetector, clock);
       clock.advance(gapMs);
-      patience.observe();
+      chainDetector.observe();
       return isLate;
     };
     falseMoves += createTrace(random).filter(isTimedOut).length;
-    detectionMs.push(detector.deadLimitMs(patience, clock));
+    detectionMs.push(detector.deadLimitMs(chainDetector, clock));
   }
   return { falseMoves, detectionMs };
 }
--- a/packages/bench/src/benches/feed.ts
+++ b/packages/bench/src/benches/feed.ts
@@ -6,7 +6,7 @@
 import type { BackendFact, FactTable, SystemFact } from '@spoolplank/membership';
 import { SYSTEM_CLOCK } from '@spoolplank/node';
 import { findStageChains, planPlacement } from '@spoolplank/routing';
-import type { ModelDescription, PlacedEngine, StageEngine } from '@spoolplank/routing';
+import type { ModelDescription, ObservedEngine, StageEngine } from '@spoolplank/routing';
 import type { Figure } from '../figures';
 import { fitLine } from '../statistics';
 
@@ -115,7 +115,7 @@
   return { bytes: bytes / exchanges, processorMs: processorUs / exchanges / MS_PER_S };
 }
 
-function createEngines(count: number): PlacedEngine[] {
+function createEngines(count: number): ObservedEngine[] {
   return Array.from({ length: count }, (_unused, index) => ({
     id: `engine-${index}`,
     dataCentre: 'dc0',
@@ -136,7 +136,7 @@
   return (user + system) / ROUNDS / MS_PER_S;
 }
 
-function toStageEngines(engines: readonly PlacedEngine[]): StageEngine[] {
+function toStageEngines(engines: readonly ObservedEngine[]): StageEngine[] {
   const orders = new Map(planPlacement(engines, MODEL).map((order) => [order.id, order]));
   return engines.flatMap(({ id }) => {
     const order = orders.get(id);
--- a/packages/bench/src/benches/state.ts
+++ b/packages/bench/src/benches/state.ts
@@ -150,7 +150,7 @@
       announcements.forEach((announcement) => table.announce(structuredClone(announcement)));
       return table;
     });
-    const listed = directory.listLive().map(({ announcement }) => announcement);
+    const listed = directory.listAvailable().map(({ announcement }) => announcement);
     const loads = createBackendLoadTable();
     const excluded: ReadonlySet<string> = new Set();
     const plainUs = measureUs(CHOICES, () => {
--- a/packages/bench/src/benches/thin.ts
+++ b/packages/bench/src/benches/thin.ts
@@ -1,6 +1,6 @@
 /** Overhead of the entry VM: streams through it against streams directly from the same engines. */
 import { createInterface } from 'node:readline';
-import { openCall } from '@spoolplank/node';
+import { sendHttpRequest } from '@spoolplank/node';
 import { chatPrompt, streamCompletion } from '../caller';
 import type { RunningFake } from '../deployment';
 import type { Figure } from '../figures';
@@ -34,7 +34,7 @@
   }));
   const session = `direct-${round}`;
   const startedMs = performance.now();
-  const response = await openCall({
+  const response = await sendHttpRequest({
     endpoint: { host: '127.0.0.1', port: engines[0]?.port ?? 0 },
     method: 'POST',
     path: '/streams',
--- a/packages/bench/src/caller.ts
+++ b/packages/bench/src/caller.ts
@@ -1,7 +1,7 @@
 /** A minimal client: fetches addresses, streams completions and calls services. */
 import { createInterface } from 'node:readline';
-import { callHttp, callJson, createAgent, openCall, parseAddress } from '@spoolplank/node';
-import type { HttpAnswer } from '@spoolplank/node';
+import { callHttp, callJson, createAgent, sendHttpRequest, parseAddress } from '@spoolplank/node';
+import type { HttpResponse } from '@spoolplank/node';
 import { fromErrorBody } from '@spoolplank/shared';
 import type { JsonValue } from '@spoolplank/shared';
 
@@ -48,7 +48,7 @@
 export async function streamCompletion(options: StreamOptions): Promise<StreamedAnswer> {
   const { address, token, model, prompt, maxTokens, lastEventId } = options;
   const startedAtMs = performance.now();
-  const response = await openCall({
+  const response = await sendHttpRequest({
     endpoint: parseAddress(address),
     method: 'POST',
     path: '/v1/chat/completions',
@@ -129,7 +129,7 @@
 }
 
 /** Calls a plain service. */
-export function callService(options: ServiceCall): Promise<HttpAnswer> {
+export function callService(options: ServiceCall): Promise<HttpResponse> {
   const { address, token, service, path = '/', method = 'POST', body = '{}', headers } = options;
   return callHttp({
     endpoint: parseAddress(address),
--- a/packages/consensus/__tests__/groupMembership.spec.ts
+++ b/packages/consensus/__tests__/groupMembership.spec.ts
@@ -60,7 +60,7 @@
     assert.equal(LIMITS.votersWanted, 3);
     assert.equal(FIVE_VOTER_LIMITS.votersWanted, 5);
     const half = deriveMembershipLimits({ lossesBorne: 1, catchUpMs: 2000 });
-    assert.equal(half.silentAfterMs, LIMITS.silentAfterMs / 2);
+    assert.equal(half.contactTimeoutMs, LIMITS.contactTimeoutMs / 2);
     assert.equal(half.stableForMs, LIMITS.stableForMs / 2);
     const none = deriveMembershipLimits({ lossesBorne: 0, catchUpMs: 4000 });
     assert.equal(none.votersWanted, 3, 'a single voter could lose acknowledged entries');
@@ -189,9 +189,9 @@
   const WITH_STANDBYS: Configuration = { ...THREE_VOTERS, standbys: ['vm5#e', 'vm4#d'] };
 
   it('replaces a silent voter, preferably in its own data centre', () => {
-    const members = { 'vm1#a': { ...UNREACHABLE, silentForMs: LIMITS.silentAfterMs + 1 } };
+    const members = { 'vm1#a': { ...UNREACHABLE, silentForMs: LIMITS.contactTimeoutMs + 1 } };
     assert.deepEqual(changeOf(decide(WITH_STANDBYS, { members })), exchange(['vm4#d'], ['vm1#a']));
-    const notYet = { 'vm1#a': { ...UNREACHABLE, silentForMs: LIMITS.silentAfterMs } };
+    const notYet = { 'vm1#a': { ...UNREACHABLE, silentForMs: LIMITS.contactTimeoutMs } };
     assert.equal(decide(WITH_STANDBYS, { members: notYet }), null);
   });
 
--- a/packages/consensus/__tests__/groupRunner.spec.ts
+++ b/packages/consensus/__tests__/groupRunner.spec.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { createManualClock, createSeededRandom, SpoolplankError } from '@spoolplank/shared';
 import type { JsonValue } from '@spoolplank/shared';
-import { BLANK_STATE, createGroupRunner } from '..';
+import { EMPTY_STORED_STATE, createGroupRunner } from '..';
 import type {
   GroupRunner,
   LogEntry,
@@ -45,7 +45,7 @@
   let timers: { readonly atMs: number; readonly run: () => void }[] = [];
   let isFull = false;
   const stored: StoredState = {
-    ...BLANK_STATE,
+    ...EMPTY_STORED_STATE,
     snapshot: { index: 1, term: 0, configuration: { voters, learners: [] } },
     base: { index: 1, term: 0 },
   };
--- a/packages/consensus/__tests__/groupSchedules.ts
+++ b/packages/consensus/__tests__/groupSchedules.ts
@@ -219,8 +219,8 @@
 /** Runs one schedule and observes the recovery after it. */
 export function runGroupSchedule(options: GroupScheduleOptions): GroupScheduleResult {
   const { seed, size, dataCentres, lossesBorne, catchUpMs, lossesInRow } = options;
-  const promise = { lossesBorne, catchUpMs };
-  const group = new MemoryGroup({ seed, size, promise, dataCentres });
+  const faultTolerance = { lossesBorne, catchUpMs };
+  const group = new MemoryGroup({ seed, size, faultTolerance, dataCentres });
   const { random } = group.cluster;
   const due: { readonly atMs: number; readonly run: () => void }[] = [];
   const losses: string[] = [];
--- a/packages/consensus/__tests__/membershipRecord.spec.ts
+++ b/packages/consensus/__tests__/membershipRecord.spec.ts
@@ -128,7 +128,7 @@
     const { poll } = createFixture();
     const answerAgesMs = { 'vm2#b': 50, 'vm4#d': 50 };
     const status = createStatus({ configuration: WITH_STANDBY, answerAgesMs });
-    assert.deepEqual(poll(status, LIMITS.silentAfterMs + POLL_INTERVAL_MS), []);
+    assert.deepEqual(poll(status, LIMITS.contactTimeoutMs + POLL_INTERVAL_MS), []);
     assert.deepEqual(changes(poll(status, POLL_INTERVAL_MS)), ['exchange']);
   });
 
@@ -139,7 +139,7 @@
     const status = createStatus({
       configuration: WITH_STANDBY,
       answerAgesMs: { 'vm2#b': 50, 'vm4#d': 50 },
-      contactAgesMs: { 'vm3#c': LIMITS.silentAfterMs + 1 },
+      contactAgesMs: { 'vm3#c': LIMITS.contactTimeoutMs + 1 },
     });
     poll(status, LIMITS.stableForMs);
     assert.deepEqual(changes(poll(status, POLL_INTERVAL_MS)), ['exchange']);
@@ -160,7 +160,7 @@
       configuration: WITH_STANDBY,
       answerAgesMs: { 'vm2#b': 50, 'vm3#new': 50, 'vm4#d': 50 },
     });
-    poll(status, LIMITS.silentAfterMs + POLL_INTERVAL_MS);
+    poll(status, LIMITS.contactTimeoutMs + POLL_INTERVAL_MS);
     assert.deepEqual(changes(poll(status, POLL_INTERVAL_MS)), ['exchange']);
   });
 });
@@ -223,7 +223,7 @@
   it('asks to join after a long time without a leader, as it may have been removed', () => {
     const { poll } = createFixture();
     assert.deepEqual(poll(following, 1000), []);
-    assert.deepEqual(poll(alone, LIMITS.silentAfterMs), []);
+    assert.deepEqual(poll(alone, LIMITS.contactTimeoutMs), []);
     assert.deepEqual(poll(alone, POLL_INTERVAL_MS), [{ kind: 'ask-to-join' }]);
   });
 
@@ -240,25 +240,25 @@
   it('has to hand over its vote if another member can take it', () => {
     const { membership } = createFixture();
     membership.beginLeaving();
-    assert.equal(membership.hasToHandOver(follower), false);
-    assert.equal(membership.hasToHandOver({ ...follower, configuration: WITH_STANDBY }), true);
+    assert.equal(membership.mustDelayShutdown(follower), false);
+    assert.equal(membership.mustDelayShutdown({ ...follower, configuration: WITH_STANDBY }), true);
   });
 
   it('waits, as a non-voter, until the leader knows of the shutdown, as it may be given a vote', () => {
     const { membership } = createFixture();
     membership.beginLeaving();
     const configuration = { voters: ['vm2#b', 'vm3#c', 'vm4#d'], learners: [], standbys: [SELF] };
-    assert.equal(membership.hasToHandOver({ ...follower, configuration }), true);
+    assert.equal(membership.mustDelayShutdown({ ...follower, configuration }), true);
     membership.confirmLeave();
-    assert.equal(membership.hasToHandOver({ ...follower, configuration }), false);
+    assert.equal(membership.mustDelayShutdown({ ...follower, configuration }), false);
   });
 
   it('has to hand over its leadership, unless all others are shutting down too', () => {
     const { membership } = createFixture();
     membership.beginLeaving();
-    assert.equal(membership.hasToHandOver(createStatus()), true);
+    assert.equal(membership.mustDelayShutdown(createStatus()), true);
     membership.recordLeave('vm2#b');
     membership.recordLeave('vm3#c');
-    assert.equal(membership.hasToHandOver(createStatus()), false);
+    assert.equal(membership.mustDelayShutdown(createStatus()), false);
   });
 });
--- a/packages/consensus/__tests__/membershipReturns.spec.ts
+++ b/packages/consensus/__tests__/membershipReturns.spec.ts
@@ -11,15 +11,20 @@
 import { findProblem, optionsOf, runGroupSchedule } from './groupSchedules';
 import { MemoryGroup } from './memoryGroup';
 
-const PROMISE = { lossesBorne: 1, catchUpMs: 4000 };
-const LIMITS = deriveMembershipLimits(PROMISE);
+const FAULT_TOLERANCE = { lossesBorne: 1, catchUpMs: 4000 };
+const LIMITS = deriveMembershipLimits(FAULT_TOLERANCE);
 const ELECTION_MS = 3000;
 const MARGIN_MS = 1000;
 const UNREACHABLE_LEARNER_SEED = 2916;
 
 describe('a non-voting VM that was removed while unreachable', () => {
   it('becomes a member again soon after it is reachable', () => {
-    const group = new MemoryGroup({ seed: 1, size: 3, promise: PROMISE, dataCentres: 3 });
+    const group = new MemoryGroup({
+      seed: 1,
+      size: 3,
+      faultTolerance: FAULT_TOLERANCE,
+      dataCentres: 3,
+    });
     const listMembers = () => {
       const status = group.confirmedLeader()?.node.replica?.status();
       return status ? listReplicas(status.configuration) : [];
@@ -32,7 +37,7 @@
     group.run(LIMITS.removeAfterMs + MARGIN_MS);
     assert.ok(!listMembers().includes(node.id));
     node.isPartitioned = false;
-    group.run(PROMISE.catchUpMs);
+    group.run(FAULT_TOLERANCE.catchUpMs);
     assert.ok(listMembers().includes(node.id));
   });
 
--- a/packages/consensus/__tests__/memoryGroup.ts
+++ b/packages/consensus/__tests__/memoryGroup.ts
@@ -8,7 +8,7 @@
   deriveElectionTimings,
   deriveMembershipLimits,
 } from '..';
-import type { GroupDescription, GroupMembership, GroupPromise, MembershipAction } from '..';
+import type { GroupDescription, GroupMembership, FaultTolerance, MembershipAction } from '..';
 import { MemoryCluster } from './memoryCluster';
 import type { Node } from './memoryNode';
 
@@ -30,7 +30,7 @@
 export interface MemoryGroupOptions {
   readonly seed: number;
   readonly size: number;
-  readonly promise: GroupPromise;
+  readonly faultTolerance: FaultTolerance;
   /** Number of data centres over which the initial VMs are spread. */
   readonly dataCentres: number;
 }
@@ -56,19 +56,19 @@
 
   readonly vms: GroupVm[];
 
-  readonly #promise: GroupPromise;
+  readonly #faultTolerance: FaultTolerance;
 
   #nextProposalMs = 0;
 
   #count: number;
 
-  constructor({ seed, size, promise, dataCentres }: MemoryGroupOptions) {
-    this.#promise = promise;
+  constructor({ seed, size, faultTolerance, dataCentres }: MemoryGroupOptions) {
+    this.#faultTolerance = faultTolerance;
     this.cluster = new MemoryCluster({
       seed,
       size,
       snapshotEvery: 9,
-      timings: deriveElectionTimings(promise),
+      timings: deriveElectionTimings(faultTolerance),
       chunkLength: CHUNK_LENGTH,
     });
     this.#count = size;
@@ -107,7 +107,7 @@
     return createGroupMembership({
       clock,
       replicaId: node.id,
-      limits: deriveMembershipLimits(this.#promise),
+      limits: deriveMembershipLimits(this.#faultTolerance),
       dataCentreOf: (id) => this.vms.find((vm) => vm.node.id === id)?.dataCentre,
     });
   }
@@ -201,9 +201,9 @@
   /** Requests the shutdown of a process; returns whether it has nothing left to hand over. */
   static tryShutDown(vm: GroupVm): boolean {
     vm.membership.beginLeaving();
-    vm.node.replica?.avoidLead();
+    vm.node.replica?.deferElections();
     const status = vm.node.replica?.status();
-    return !status || !vm.membership.hasToHandOver(status);
+    return !status || !vm.membership.mustDelayShutdown(status);
   }
 
   /** Cuts the power of a VM. */
--- a/packages/consensus/__tests__/memoryNode.ts
+++ b/packages/consensus/__tests__/memoryNode.ts
@@ -1,6 +1,6 @@
 /** A replica of an in-memory group and its simulated disk. */
 import type { JsonValue } from '@spoolplank/shared';
-import { BLANK_STATE } from '..';
+import { EMPTY_STORED_STATE } from '..';
 import type {
   ConfigurationChange,
   HardState,
@@ -53,7 +53,7 @@
 export const SHORT_CHUNK_LENGTH = 40;
 
 export function blankDisk(): Disk {
-  return { ...BLANK_STATE, snapshotData: '', entries: [] };
+  return { ...EMPTY_STORED_STATE, snapshotData: '', entries: [] };
 }
 
 /** Proposes a membership change to a leader. */
--- a/packages/consensus/__tests__/replica.spec.ts
+++ b/packages/consensus/__tests__/replica.spec.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { createManualClock, createSeededRandom } from '@spoolplank/shared';
 import type { ManualClock } from '@spoolplank/shared';
-import { BLANK_STATE, createReplica, majorityOf } from '..';
+import { EMPTY_STORED_STATE, createReplica, majorityOf } from '..';
 import type {
   Configuration,
   ConfigurationChange,
@@ -16,7 +16,7 @@
 
 const VOTERS = ['a', 'b', 'c'];
 const INITIAL_STATE: StoredState = {
-  ...BLANK_STATE,
+  ...EMPTY_STORED_STATE,
   snapshot: { index: 1, term: 0, configuration: { voters: VOTERS, learners: [] } },
   base: { index: 1, term: 0 },
 };
@@ -133,7 +133,7 @@
     first.replica.receive(createVote('b', 5));
     const ready = first.save();
     assert.equal(findSent(ready, 'vote-reply')[0]?.isGranted, true);
-    const hardState = ready.hardState ?? stored ?? BLANK_STATE.hardState;
+    const hardState = ready.hardState ?? stored ?? EMPTY_STORED_STATE.hardState;
     const second = createFixture({ ...INITIAL_STATE, hardState });
     second.clock.advance(1500);
     second.replica.receive(createVote('c', 5));
--- a/packages/consensus/examples/threeReplicas.ts
+++ b/packages/consensus/examples/threeReplicas.ts
@@ -1,6 +1,6 @@
 /** Three replicas in one process: an election, a command, and its commitment. */
 import { createManualClock, createSeededRandom } from '@spoolplank/shared';
-import { BLANK_STATE, createReplica } from '@spoolplank/consensus';
+import { EMPTY_STORED_STATE, createReplica } from '@spoolplank/consensus';
 import type { LogEntry, Message, Replica } from '@spoolplank/consensus';
 
 const IDS = ['a', 'b', 'c'];
@@ -26,7 +26,7 @@
 export function runExample(write: (line: string) => void): void {
   const clock = createManualClock();
   const snapshot = { index: 1, term: 0, configuration: { voters: IDS, learners: [] } };
-  const stored = { ...BLANK_STATE, snapshot, base: { index: 1, term: 0 } };
+  const stored = { ...EMPTY_STORED_STATE, snapshot, base: { index: 1, term: 0 } };
   const replicas = new Map(
     IDS.map((id, seed) => [
       id,
--- a/packages/consensus/src/configuration.ts
+++ b/packages/consensus/src/configuration.ts
@@ -5,7 +5,7 @@
 export type ReplicaId = string;
 
 /** The VM of a replica, which is the part of its identity before `#`. */
-export function vmOfReplica(replicaId: ReplicaId): string {
+export function vmIdOfReplica(replicaId: ReplicaId): string {
   return replicaId.split('#')[0] ?? replicaId;
 }
 
@@ -48,7 +48,7 @@
 }
 
 /** The replicas affected by a change. */
-export function replicasOf(change: ConfigurationChange): readonly ReplicaId[] {
+export function affectedReplicas(change: ConfigurationChange): readonly ReplicaId[] {
   return change.kind === 'exchange' ? [...change.incoming, ...change.outgoing] : [change.replicaId];
 }
 
--- a/packages/consensus/src/groupMembership.ts
+++ b/packages/consensus/src/groupMembership.ts
@@ -1,6 +1,6 @@
 /** Membership management of one replica: the leader changes members, others may ask to join. */
 import type { Clock } from '@spoolplank/shared';
-import { listReplicas, vmOfReplica } from './configuration';
+import { listReplicas, vmIdOfReplica } from './configuration';
 import type { ReplicaId } from './configuration';
 import type { MembershipLimits } from './membershipLimits';
 import { decideMembershipStep } from './membershipRules';
@@ -36,7 +36,7 @@
    * member can take it, or it has no vote but the leader, not yet aware of the shutdown, may assign
    * one.
    */
-  hasToHandOver(status: ReplicaStatus): boolean;
+  mustDelayShutdown(status: ReplicaStatus): boolean;
   /** Returns the next action; called periodically in every role. */
   next(status: ReplicaStatus): MembershipAction | null;
 }
@@ -174,16 +174,16 @@
     }
     if (isLeaving) return { kind: 'ask-to-leave' };
     const isMember = listReplicas(configuration).includes(replicaId);
-    const isCutOff = nowMs - leaderSeenAtMs > limits.silentAfterMs;
+    const isCutOff = nowMs - leaderSeenAtMs > limits.contactTimeoutMs;
     return isMember && !isCutOff ? null : { kind: 'ask-to-join' };
   }
 
   return {
     recordJoin(request) {
-      const vmId = vmOfReplica(request.replicaId);
+      const vmId = vmIdOfReplica(request.replicaId);
       // A VM has one identity at a time, so requests of its earlier identities are dropped.
       [...pendingJoins.keys()]
-        .filter((id) => vmOfReplica(id) === vmId)
+        .filter((id) => vmIdOfReplica(id) === vmId)
         .forEach((id) => pendingJoins.delete(id));
       pendingJoins.set(request.replicaId, { request, atMs: clock.nowMs() });
       if (request.dataCentre !== undefined) dataCentres.set(request.replicaId, request.dataCentre);
@@ -195,7 +195,7 @@
     confirmLeave() {
       isLeaveConfirmed = true;
     },
-    hasToHandOver({ role, configuration }) {
+    mustDelayShutdown({ role, configuration }) {
       const { voters, learners, standbys = [] } = configuration;
       if (!voters.includes(replicaId)) return !isLeaveConfirmed;
       const leaving = listLeaving();
--- a/packages/consensus/src/groupRunner.ts
+++ b/packages/consensus/src/groupRunner.ts
@@ -61,7 +61,7 @@
   /** Transfers leadership to a voter; returns whether the transfer has started. */
   transferLeadership(successor?: ReplicaId): boolean;
   /** Delays this replica's elections from now on, because it is about to stop. */
-  avoidLead(): void;
+  deferElections(): void;
   status(): ReplicaStatus;
   /** Stops the replica after the save in progress has finished. */
   stop(): Promise<void>;
@@ -264,7 +264,7 @@
       wake();
       return hasBegun;
     },
-    avoidLead: () => replica.avoidLead(),
+    deferElections: () => replica.deferElections(),
     status: () => replica.status(),
     async stop() {
       isStopped = true;
--- a/packages/consensus/src/membershipLimits.ts
+++ b/packages/consensus/src/membershipLimits.ts
@@ -1,7 +1,7 @@
 /** The fault tolerance that the settings require of a group, and the limits derived from it. */
 
 /** Losses that a group has to tolerate. */
-export interface GroupPromise {
+export interface FaultTolerance {
   /** Number of VMs that may be lost at the same time. */
   readonly lossesBorne: number;
   /**
@@ -17,7 +17,7 @@
   /** Time for which a member must reply without a gap before it becomes a voter. */
   readonly stableForMs: number;
   /** Time without a reply after which a voter is replaced by a standby. */
-  readonly silentAfterMs: number;
+  readonly contactTimeoutMs: number;
   /** Time without a reply after which a non-voting member is removed. */
   readonly removeAfterMs: number;
   /** Maximum age of a reply or a join request that still counts as current. */
@@ -30,7 +30,7 @@
   readonly heartbeatIntervalMs: number;
 }
 
-export const DEFAULT_GROUP_PROMISE: GroupPromise = { lossesBorne: 1, catchUpMs: 4000 };
+export const DEFAULT_FAULT_TOLERANCE: FaultTolerance = { lossesBorne: 1, catchUpMs: 4000 };
 /** Within `catchUpMs` a new VM must find the group, prove stable and be exchanged for a voter. */
 const STABLE_SHARE = 1 / 8;
 /** Leaves time within `catchUpMs` to elect a leader first and to exchange the voter afterwards. */
@@ -50,25 +50,28 @@
 const MIN_ELECTION_TIMEOUT_MS = 200;
 
 /** Returns why the required fault tolerance cannot be met, or null if it can. */
-export function findPromiseProblem({ catchUpMs }: GroupPromise): string | null {
-  const leastMs = Math.ceil(MIN_ELECTION_TIMEOUT_MS / ELECTION_SHARE);
-  if (catchUpMs >= leastMs) return null;
-  return `a VM cannot return or be replaced within ${catchUpMs} ms: an election alone may take ${2 * MIN_ELECTION_TIMEOUT_MS} ms, and the group needs ${leastMs} ms`;
+export function findFaultToleranceProblem({ catchUpMs }: FaultTolerance): string | null {
+  const minCatchUpMs = Math.ceil(MIN_ELECTION_TIMEOUT_MS / ELECTION_SHARE);
+  if (catchUpMs >= minCatchUpMs) return null;
+  return `a VM cannot return or be replaced within ${catchUpMs} ms: an election alone may take ${2 * MIN_ELECTION_TIMEOUT_MS} ms, and the group needs ${minCatchUpMs} ms`;
 }
 
 /** Derives the membership limits from the required fault tolerance. */
-export function deriveMembershipLimits({ lossesBorne, catchUpMs }: GroupPromise): MembershipLimits {
+export function deriveMembershipLimits({
+  lossesBorne,
+  catchUpMs,
+}: FaultTolerance): MembershipLimits {
   return {
     votersWanted: 2 * Math.max(MIN_LOSSES, lossesBorne) + 1,
     stableForMs: catchUpMs * STABLE_SHARE,
-    silentAfterMs: catchUpMs * SILENT_SHARE,
+    contactTimeoutMs: catchUpMs * SILENT_SHARE,
     removeAfterMs: catchUpMs * REMOVE_SHARE,
     maxContactAgeMs: catchUpMs * MAX_CONTACT_AGE_SHARE,
   };
 }
 
 /** Derives the election timings from the required fault tolerance. */
-export function deriveElectionTimings({ catchUpMs }: GroupPromise): ElectionTimings {
+export function deriveElectionTimings({ catchUpMs }: FaultTolerance): ElectionTimings {
   const wantedMs = Math.max(MIN_ELECTION_TIMEOUT_MS, catchUpMs * ELECTION_SHARE);
   const electionTimeoutMs = Math.min(MAX_ELECTION_TIMEOUT_MS, wantedMs);
   return { electionTimeoutMs, heartbeatIntervalMs: electionTimeoutMs / HEARTBEATS_PER_TIMEOUT };
--- a/packages/consensus/src/membershipRules.ts
+++ b/packages/consensus/src/membershipRules.ts
@@ -5,7 +5,7 @@
  * before the step: voters change only by joint consensus, and only caught-up members become voters.
  * See docs/design/group-membership.md.
  */
-import { listReplicas, vmOfReplica } from './configuration';
+import { listReplicas, vmIdOfReplica } from './configuration';
 import type { Configuration, ConfigurationChange, ReplicaId } from './configuration';
 import type { MembershipLimits } from './membershipLimits';
 
@@ -56,11 +56,13 @@
 function listReady(
   { viewOf, leaving }: GroupView,
   ids: readonly ReplicaId[],
-  leastMs: number,
+  minStableMs: number,
 ): readonly ReplicaId[] {
   return ids.filter((id) => {
     const { isCaughtUp, stableForMs } = viewOf(id);
-    return isCaughtUp && stableForMs !== null && stableForMs >= leastMs && !leaving.includes(id);
+    return (
+      isCaughtUp && stableForMs !== null && stableForMs >= minStableMs && !leaving.includes(id)
+    );
   });
 }
 
@@ -111,7 +113,7 @@
 ): MembershipStep | null {
   if (outgoing === view.leader) return handOver(view, reason);
   // The identity of a lost disk never returns, so it is not kept as a standby.
-  const isLost = vmOfReplica(incoming) === vmOfReplica(outgoing);
+  const isLost = vmIdOfReplica(incoming) === vmIdOfReplica(outgoing);
   const kept = isLost ? [] : [outgoing];
   return change({ kind: 'exchange', incoming: [incoming], outgoing: [outgoing], kept }, reason);
 }
@@ -120,8 +122,8 @@
 const removeLostIdentities: Rule = ({ configuration, joining }) => {
   const { learners, standbys = [] } = configuration;
   const inOrder = [...standbys, ...learners, ...joining.map(({ replicaId }) => replicaId)];
-  const newestOf = (vmId: string) => inOrder.findLast((id) => vmOfReplica(id) === vmId);
-  const lost = [...standbys, ...learners].find((id) => newestOf(vmOfReplica(id)) !== id);
+  const newestOf = (vmId: string) => inOrder.findLast((id) => vmIdOfReplica(id) === vmId);
+  const lost = [...standbys, ...learners].find((id) => newestOf(vmIdOfReplica(id)) !== id);
   if (lost === undefined) return null;
   return change({ kind: 'remove', replicaId: lost }, 'its VM has a newer identity');
 };
@@ -132,7 +134,7 @@
   if (!newcomer) return null;
   const { replicaId, isFounding = false } = newcomer;
   const hasPredecessor = configuration.voters.some(
-    (id) => vmOfReplica(id) === vmOfReplica(replicaId),
+    (id) => vmIdOfReplica(id) === vmIdOfReplica(replicaId),
   );
   return isFounding && !hasPredecessor
     ? change({ kind: 'keep-standby', replicaId }, 'starts with the system')
@@ -143,7 +145,7 @@
 const replaceLostIdentity: Rule = (view, limits) => {
   const { configuration } = view;
   for (const learner of listReadyLearners(view, limits)) {
-    const lost = configuration.voters.find((id) => vmOfReplica(id) === vmOfReplica(learner));
+    const lost = configuration.voters.find((id) => vmIdOfReplica(id) === vmIdOfReplica(learner));
     if (lost !== undefined) return exchangeVoter(view, learner, lost, 'its VM has lost its disk');
   }
   return null;
@@ -208,7 +210,7 @@
 };
 
 const replaceSilentVoter: Rule = (view, limits) => {
-  const silent = findLongestSilent(view, view.configuration.voters, limits.silentAfterMs);
+  const silent = findLongestSilent(view, view.configuration.voters, limits.contactTimeoutMs);
   const standby = silent === undefined ? undefined : findStandby(view, silent);
   if (silent === undefined || standby === undefined) return null;
   return exchangeVoter(view, standby, silent, 'silent voter');
--- a/packages/consensus/src/replica.ts
+++ b/packages/consensus/src/replica.ts
@@ -102,7 +102,7 @@
    */
   transferLeadership(successor?: ReplicaId): boolean;
   /** Delays this replica's elections from now on, because it is about to stop. */
-  avoidLead(): void;
+  deferElections(): void;
   /** Whether a read of the applied state is linearizable now; does not wait. */
   canRead(): boolean;
   takeReady(): Ready;
@@ -318,7 +318,7 @@
     },
     proposeConfiguration: (change) => proposeConfiguration(state, change),
     transferLeadership: (successor) => transferLeadership(state, successor),
-    avoidLead() {
+    deferElections() {
       state.isDeferringElections = true;
     },
     canRead: () => isLeaseValid(state) && state.commitIndex >= state.termStartIndex,
--- a/packages/consensus/src/storage.ts
+++ b/packages/consensus/src/storage.ts
@@ -38,7 +38,7 @@
 }
 
 /** Stored state of a new replica. */
-export const BLANK_STATE: StoredState = {
+export const EMPTY_STORED_STATE: StoredState = {
   hardState: { term: 0, votedFor: null },
   snapshot: null,
   base: { index: 0, term: 0 },
--- a/packages/control/__tests__/controlState.spec.ts
+++ b/packages/control/__tests__/controlState.spec.ts
@@ -85,7 +85,7 @@
     const clock = createManualClock();
     const logClock = createLogClock(clock);
     logClock.observe(5000);
-    clock.jumpWall(1e9);
+    clock.stepWallClock(1e9);
     clock.advance(100);
     assert.equal(logClock.nowMs(), 5100);
     logClock.observe(5050);
--- a/packages/control/src/settingsState.ts
+++ b/packages/control/src/settingsState.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { applyEdits, EMPTY_TREE } from '@spoolplank/settings';
+import { applyEdits, EMPTY_SETTINGS_TREE } from '@spoolplank/settings';
 import type { Edit, SettingsTree } from '@spoolplank/settings';
 import { canonicalJson } from '@spoolplank/shared';
 import type { ChangeResult, ChangeSettings } from './commands';
@@ -70,7 +70,7 @@
   const maxHistory = options.maxHistory ?? DEFAULT_MAX_HISTORY;
   const maxResults = options.maxResults ?? DEFAULT_MAX_RESULTS;
   let version = 0;
-  let tree: SettingsTree = EMPTY_TREE;
+  let tree: SettingsTree = EMPTY_SETTINGS_TREE;
   let history: AcceptedChange[] = [];
   let results = new Map<string, StoredResult>();
 
--- a/packages/controller/__tests__/backendDirectory.spec.ts
+++ b/packages/controller/__tests__/backendDirectory.spec.ts
@@ -34,7 +34,7 @@
     host: 'vm',
     peerPort: 1,
     dataCentre: 'a',
-    founders: [],
+    bootstrapVmIds: [],
     seeds: () => [],
     isFirstStart: true,
     dataFolder: null,
--- a/packages/controller/__tests__/controlNode.spec.ts
+++ b/packages/controller/__tests__/controlNode.spec.ts
@@ -79,7 +79,7 @@
       host,
       peerPort: 1,
       dataCentre: DATA_CENTRES[index % DATA_CENTRES.length] ?? '',
-      founders: seeds,
+      bootstrapVmIds: seeds,
       seeds: () => seeds,
       isFirstStart: true,
       dataFolder: index < 5 ? join(folder, host) : null,
--- a/packages/controller/__tests__/controlRestart.spec.ts
+++ b/packages/controller/__tests__/controlRestart.spec.ts
@@ -53,7 +53,7 @@
       host,
       peerPort: 1,
       dataCentre: 'a',
-      founders: HOSTS,
+      bootstrapVmIds: HOSTS,
       seeds: () => HOSTS,
       isFirstStart: true,
       dataFolder: null,
--- a/packages/controller/__tests__/engineLosses.spec.ts
+++ b/packages/controller/__tests__/engineLosses.spec.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createManualClock } from '@spoolplank/shared';
-import type { PlacedEngine } from '@spoolplank/routing';
+import type { ObservedEngine } from '@spoolplank/routing';
 import { createEngineLosses } from '../src/engineLosses';
 
-function createEngine(id: string, overrides: Partial<PlacedEngine> = {}): PlacedEngine {
+function createEngine(id: string, overrides: Partial<ObservedEngine> = {}): ObservedEngine {
   return {
     id,
     dataCentre: 'a',
--- a/packages/controller/__tests__/placementLoop.spec.ts
+++ b/packages/controller/__tests__/placementLoop.spec.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { stateLeaving } from '@spoolplank/membership';
+import { publishLeaving } from '@spoolplank/membership';
 import type { OrderOutcome } from '../src/engineOperations';
 import { createPlacementFixture } from './placementFixtures';
 
@@ -43,7 +43,7 @@
     const { receivedOrders, table, runFor } = createFixture(() => 'begun');
     await runFor(6000, ALL);
     const before = receivedOrders.length;
-    ['e1', 'e3'].forEach((instanceId) => stateLeaving(table, instanceId));
+    ['e1', 'e3'].forEach((instanceId) => publishLeaving(table, instanceId));
     await runFor(6000, ALL);
     const after = receivedOrders.slice(before);
     assert.ok(after.some(({ firstLayer }) => firstLayer === 0));
--- a/packages/controller/src/announcementCheck.ts
+++ b/packages/controller/src/announcementCheck.ts
@@ -1,6 +1,6 @@
 /** Checks whether an announcement may replace the stored state of a backend server. */
 import type { BackendFact } from '@spoolplank/membership';
-import { findMisfit } from '@spoolplank/routing';
+import { findDocumentConflict } from '@spoolplank/routing';
 import type { RoutingDocument } from '@spoolplank/routing';
 
 /** Fields that do not change within one incarnation of a backend server. */
@@ -31,8 +31,9 @@
   const { stated, known, document } = options;
   if (!document) return null;
   const isServiceKnown = document.services.some(({ name }) => name === stated.service);
-  const misfit = isServiceKnown ? findMisfit(stated, document) : null;
+  const misfit = isServiceKnown ? findDocumentConflict(stated, document) : null;
   if (misfit !== null) return misfit;
-  if (!known || known.state === 'gone' || findMisfit(known, document) !== null) return null;
+  if (!known || known.state === 'gone' || findDocumentConflict(known, document) !== null)
+    return null;
   return findContradiction(known, stated);
 }
--- a/packages/controller/src/controlFeeds.ts
+++ b/packages/controller/src/controlFeeds.ts
@@ -25,7 +25,7 @@
    * Without them, no VM would follow one that is neither a seed nor a voter, and the announcements
    * of its backend servers would not be replicated.
    */
-  readonly statements: () => readonly FactUpdate<SystemFact>[];
+  readonly outgoingFacts: () => readonly FactUpdate<SystemFact>[];
   /** Called with a new document. */
   readonly onDocument: () => void;
 }
@@ -67,7 +67,7 @@
       clock,
       table,
       documents,
-      statements: options.statements,
+      outgoingFacts: options.outgoingFacts,
       exchange: (request) =>
         peers.call<FeedReply<SystemFact, StoredDocument>>(
           findTarget(other),
@@ -79,7 +79,7 @@
       waitMs: FEED_WAIT_MS,
       retryMs: RETRY_MS,
       onDocument,
-      isPassingOn: true,
+      isRelay: true,
       onSourceRestart: restartAll,
       exceptOrigins: () => listDirectOriginsExcept(other),
       onState(isConnected, problem) {
--- a/packages/controller/src/controlNode.ts
+++ b/packages/controller/src/controlNode.ts
@@ -1,6 +1,6 @@
 /** The role `control` with injected dependencies: log, directory, feed and placement. */
-import { DEFAULT_GROUP_PROMISE, deriveElectionTimings } from '@spoolplank/consensus';
-import type { GroupDescription, GroupPromise } from '@spoolplank/consensus';
+import { DEFAULT_FAULT_TOLERANCE, deriveElectionTimings } from '@spoolplank/consensus';
+import type { GroupDescription, FaultTolerance } from '@spoolplank/consensus';
 import type { ReplaceResult, StoredDocument } from '@spoolplank/control';
 import { createDocumentState } from '@spoolplank/control';
 import {
@@ -9,7 +9,7 @@
   createFeedServer,
   createSiblingBackoffs,
   FACT_KEYS,
-  retentionOf,
+  retentionMsOf,
 } from '@spoolplank/membership';
 import type {
   FactTable,
@@ -52,12 +52,12 @@
   readonly peerPort: number;
   readonly dataCentre: string;
   /** Hosts of the control VMs that bootstrap the group at the first start. */
-  readonly founders: readonly string[];
+  readonly bootstrapVmIds: readonly string[];
   /** Hosts of control VMs in the current settings. */
   readonly seeds: () => readonly string[];
   readonly isFirstStart: boolean;
   /** Losses that the group must tolerate; one at a time by default. */
-  readonly promise?: GroupPromise;
+  readonly faultTolerance?: FaultTolerance;
   /** Null on a VM without a disk, which has no replica and only forwards facts and calls. */
   readonly dataFolder: string | null;
   readonly engineOrders: EngineOrders;
@@ -126,7 +126,7 @@
 
 export async function createControlNode(options: ControlNodeOptions): Promise<ControlNode> {
   const { clock, log, peers, host, peerPort, dataCentre, run } = options;
-  const { promise = DEFAULT_GROUP_PROMISE } = options;
+  const { faultTolerance = DEFAULT_FAULT_TOLERANCE } = options;
   const state = createDocumentState();
   const documents = createDocumentCache<StoredDocument>(clock);
   let group: GroupMember | null = null;
@@ -237,7 +237,7 @@
     table,
     documents,
     findTarget,
-    statements: () => [describeSelf()],
+    outgoingFacts: () => [describeSelf()],
     onDocument: () => feed.wake(),
   });
   const documentCalls = createDocumentCalls({
@@ -266,7 +266,7 @@
     if (ticks % SELF_PUBLISH_TICKS === 1) {
       publishSelf();
       feeds.follow(controlVms.listOthers());
-      table.sweep(retentionOf);
+      table.sweep(retentionMsOf);
       notices.sweep();
     }
     if (ticks % LOAD_PUBLISH_TICKS === 0) publishLoads();
@@ -296,10 +296,10 @@
       vmId: host,
       dataCentre,
       dataFolder: options.dataFolder,
-      founders: options.isFirstStart ? options.founders : [],
+      bootstrapVmIds: options.isFirstStart ? options.bootstrapVmIds : [],
       isFirstStart: options.isFirstStart,
-      promise,
-      timings: deriveElectionTimings(promise),
+      faultTolerance,
+      timings: deriveElectionTimings(faultTolerance),
       running: GROUP_RUNNER_OPTIONS,
       listOthers: controlVms.listOthers,
       findTarget,
--- a/packages/controller/src/engineCounts.ts
+++ b/packages/controller/src/engineCounts.ts
@@ -1,6 +1,6 @@
 /** Logs how many engines the leader knows, as a layout can only use known engines. */
 import type { EventLog } from '@spoolplank/node';
-import type { PlacedEngine } from '@spoolplank/routing';
+import type { ObservedEngine } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
 
 export interface EngineCountsOptions {
@@ -10,13 +10,13 @@
 
 export interface EngineCounts {
   /** Logs the counts of a service's engines when they have changed. */
-  record(service: string, placed: readonly PlacedEngine[]): void;
+  record(service: string, placed: readonly ObservedEngine[]): void;
 }
 
 /** Minimum time between two log lines; at startup, engines appear by the hundred. */
 const LOG_EVERY_MS = 1000;
 
-function countByDataCentre(placed: readonly PlacedEngine[]): readonly string[] {
+function countByDataCentre(placed: readonly ObservedEngine[]): readonly string[] {
   const names = [...new Set(placed.map(({ dataCentre }) => dataCentre))].sort();
   return names.map((name) => {
     const here = placed.filter(({ dataCentre }) => dataCentre === name);
--- a/packages/controller/src/engineLosses.ts
+++ b/packages/controller/src/engineLosses.ts
@@ -5,12 +5,12 @@
  * layers. A new layout of their chain moves the layer boundaries of all its engines and makes the
  * chain unavailable for four to six seconds; the restarted engine only has to load its own layers.
  */
-import type { PlacedEngine } from '@spoolplank/routing';
+import type { ObservedEngine } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
 
 export interface EngineLosses {
   /** Records which engines of a service are serving now. */
-  record(service: string, placed: readonly PlacedEngine[]): void;
+  record(service: string, placed: readonly ObservedEngine[]): void;
   /** Whether the data centre lost an engine so recently that it may still restart. */
   isReturnLikely(dataCentre: string): boolean;
 }
--- a/packages/controller/src/engineNotices.ts
+++ b/packages/controller/src/engineNotices.ts
@@ -1,5 +1,5 @@
 /** Handles notices that engines send to this control VM with responses to orders and reports. */
-import { stateLeaving } from '@spoolplank/membership';
+import { publishLeaving } from '@spoolplank/membership';
 import type { FactTable, BackoffDirective, ServerNotice, SystemFact } from '@spoolplank/membership';
 import type { EventLog } from '@spoolplank/node';
 import { createBackoffTable } from '@spoolplank/routing';
@@ -38,7 +38,7 @@
         }
         onBackoff({ instanceId, backoffMs });
       }
-      if (!isLeaving || !stateLeaving(table, instanceId)) return;
+      if (!isLeaving || !publishLeaving(table, instanceId)) return;
       log.info('server-leaves', { instanceId, address, status });
     },
     recordBackoff: ({ instanceId, backoffMs }) => {
--- a/packages/controller/src/group/groupGeneration.ts
+++ b/packages/controller/src/group/groupGeneration.ts
@@ -5,11 +5,11 @@
  */
 import { join } from 'node:path';
 import {
-  forgetIdentity,
+  deleteReplicaId,
   parseJsonBody,
-  readFileIfAny,
+  readFileIfExists,
   replaceFile,
-  setAsideFolder,
+  archiveFolder,
 } from '@spoolplank/node';
 
 export interface GroupGeneration {
@@ -41,7 +41,7 @@
   group,
 }: GroupGenerationOptions): Promise<GroupGeneration> {
   const path = join(dataFolder, `${group}-generation.json`);
-  const stored = await readFileIfAny(path);
+  const stored = await readFileIfExists(path);
   const held = stored ? (parseJsonBody(stored) as unknown as StoredGeneration) : null;
   let current = held?.generation ?? 0;
 
@@ -60,8 +60,8 @@
     },
     advance,
     async supersede(generation) {
-      await setAsideFolder(join(dataFolder, group), `${group}.generation-${current}`);
-      await forgetIdentity(dataFolder);
+      await archiveFolder(join(dataFolder, group), `${group}.generation-${current}`);
+      await deleteReplicaId(dataFolder);
       await advance(generation);
     },
   };
--- a/packages/controller/src/group/groupLoop.ts
+++ b/packages/controller/src/group/groupLoop.ts
@@ -1,5 +1,5 @@
 /** Periodically evaluates a group and executes the resulting membership changes. */
-import { replicasOf } from '@spoolplank/consensus';
+import { affectedReplicas } from '@spoolplank/consensus';
 import type {
   ConfigurationChange,
   GroupMembership,
@@ -69,7 +69,7 @@
   ): void {
     log.info('group-change', {
       kind: change.kind,
-      replicas: replicasOf(change),
+      replicas: affectedReplicas(change),
       reason,
       voters: running.status().configuration.voters,
     });
--- a/packages/controller/src/group/groupMember.ts
+++ b/packages/controller/src/group/groupMember.ts
@@ -7,20 +7,20 @@
   createGroupMembership,
   createGroupRunner,
   deriveMembershipLimits,
-  findPromiseProblem,
-  vmOfReplica,
+  findFaultToleranceProblem,
+  vmIdOfReplica,
 } from '@spoolplank/consensus';
 import type {
   ElectionTimings,
   GroupDescription,
-  GroupPromise,
+  FaultTolerance,
   GroupRunner,
   JoinRequest,
   Message,
   ReplicaStatus,
   StateMachine,
 } from '@spoolplank/consensus';
-import { createFileStorage, delay, loadIdentity, scheduleTimer } from '@spoolplank/node';
+import { createFileStorage, delay, loadOrCreateReplicaId, scheduleTimer } from '@spoolplank/node';
 import type { EventLog, PeerClient, PeerMethod, PeerTarget } from '@spoolplank/node';
 import { SpoolplankError } from '@spoolplank/shared';
 import type { Clock, JsonValue, Random } from '@spoolplank/shared';
@@ -46,10 +46,10 @@
   readonly dataCentre: string;
   readonly dataFolder: string;
   /** VMs that bootstrap the group when none of them has data; empty when the group must exist. */
-  readonly founders: readonly string[];
+  readonly bootstrapVmIds: readonly string[];
   /** Whether this VM starts together with the whole system and so replaces no other member. */
   readonly isFirstStart: boolean;
-  readonly promise: GroupPromise;
+  readonly faultTolerance: FaultTolerance;
   readonly timings: ElectionTimings;
   /** Options of the runner; see `GroupRunnerOptions`. */
   readonly running?: {
@@ -103,11 +103,11 @@
 
 export async function createGroupMember(options: GroupMemberOptions): Promise<GroupMember> {
   const { clock, log, peers, vmId, group, findTarget, stateMachine, dataFolder } = options;
-  const { promise, timings } = options;
-  const replicaId = await loadIdentity(dataFolder, vmId);
+  const { faultTolerance, timings } = options;
+  const replicaId = await loadOrCreateReplicaId(dataFolder, vmId);
   const generation = await loadGroupGeneration({ dataFolder, group });
   const storage = createFileStorage({ folder: join(dataFolder, group) });
-  const limits = deriveMembershipLimits(promise);
+  const limits = deriveMembershipLimits(faultTolerance);
   const silentAfterMs = SILENT_AFTER_TIMEOUTS * timings.electionTimeoutMs;
   const transport = createRaftTransport({ peers, findTarget });
   const search = createGroupSearch({ ...options, replicaId, storage, generation });
@@ -118,7 +118,7 @@
     clock,
     replicaId,
     limits,
-    dataCentreOf: (id) => options.dataCentreOf(vmOfReplica(id)),
+    dataCentreOf: (id) => options.dataCentreOf(vmIdOfReplica(id)),
   });
   const watch = createGroupWatch({
     clock,
@@ -242,7 +242,7 @@
     return (params, sender) => {
       const request = params as unknown as JoinRequest;
       if (!canRead()) throw new SpoolplankError('not-leader');
-      if (vmOfReplica(request.replicaId) !== sender) throw new SpoolplankError('forbidden');
+      if (vmIdOfReplica(request.replicaId) !== sender) throw new SpoolplankError('forbidden');
       handle(request);
       loop.evaluateNow();
       return null;
@@ -254,7 +254,7 @@
       const { messages } = params as unknown as { readonly messages: readonly Message[] };
       // A VM may only send messages of its own replicas.
       messages
-        .filter(({ from }) => vmOfReplica(from) === sender)
+        .filter(({ from }) => vmIdOfReplica(from) === sender)
         .forEach((message) => runner?.receive(message));
       return null;
     },
@@ -266,9 +266,9 @@
 
   async function handOver(ending: GroupRunner): Promise<void> {
     membership.beginLeaving();
-    ending.avoidLead();
-    const endsAtMs = clock.nowMs() + promise.catchUpMs * HAND_OVER_SHARE;
-    while (membership.hasToHandOver(ending.status()) && clock.nowMs() < endsAtMs) {
+    ending.deferElections();
+    const endsAtMs = clock.nowMs() + faultTolerance.catchUpMs * HAND_OVER_SHARE;
+    while (membership.mustDelayShutdown(ending.status()) && clock.nowMs() < endsAtMs) {
       await delay(POLL_MS);
     }
     // Leaves time for the vote for the successor to arrive.
@@ -281,7 +281,7 @@
     report: recovery.report,
     recover: recovery.recover,
     async start() {
-      const problem = findPromiseProblem(promise);
+      const problem = findFaultToleranceProblem(faultTolerance);
       if (problem !== null) log.warn('promise-not-kept', { problem });
       const stored = await storage.load();
       const isBlank = stored.snapshot === null && stored.entries.length === 0;
@@ -302,7 +302,7 @@
     canRead,
     leaderVm() {
       const leaderId = status()?.leaderId;
-      return leaderId ? vmOfReplica(leaderId) : undefined;
+      return leaderId ? vmIdOfReplica(leaderId) : undefined;
     },
     status,
     summary() {
--- a/packages/controller/src/group/groupSearch.ts
+++ b/packages/controller/src/group/groupSearch.ts
@@ -1,5 +1,10 @@
-/** Lets a control VM find its group by querying the others, or bootstrap it with other founders. */
-import { decideBootstrap, listVoters, newestGeneration, vmOfReplica } from '@spoolplank/consensus';
+/** Lets a control VM find its group by querying the others, or bootstrap it with the others. */
+import {
+  decideBootstrap,
+  listVoters,
+  newestGeneration,
+  vmIdOfReplica,
+} from '@spoolplank/consensus';
 import type {
   Configuration,
   GroupDescription,
@@ -15,7 +20,7 @@
   readonly vmId: string;
   readonly replicaId: ReplicaId;
   /** VMs that bootstrap the group when none of them has data; empty when the group must exist. */
-  readonly founders: readonly string[];
+  readonly bootstrapVmIds: readonly string[];
   readonly storage: ReplicaStorage;
   readonly generation: GroupGeneration;
   /** The other control VMs that are currently known. */
@@ -37,7 +42,7 @@
 const FOUNDING_POSITION = { index: 1, term: 0 };
 
 export function createGroupSearch(options: GroupSearchOptions): GroupSearch {
-  const { log, peers, vmId, replicaId, founders, storage, generation, findTarget } = options;
+  const { log, peers, vmId, replicaId, bootstrapVmIds, storage, generation, findTarget } = options;
   /** VMs of the voters that others reported; the list of known VMs may lack them. */
   const knownVoterVms = new Set<string>();
   let lastWaitReason = '';
@@ -62,7 +67,7 @@
     descriptions
       .flatMap((description) => description?.configuration ?? [])
       .flatMap(listVoters)
-      .forEach((id) => knownVoterVms.add(vmOfReplica(id)));
+      .forEach((id) => knownVoterVms.add(vmIdOfReplica(id)));
     return descriptions;
   }
 
@@ -79,15 +84,17 @@
   return {
     listOthers,
     async tryToFind() {
-      const isFounder = founders.includes(vmId);
-      const others = isFounder ? founders.filter((founder) => founder !== vmId) : listOthers();
+      const isBootstrapVm = bootstrapVmIds.includes(vmId);
+      const others = isBootstrapVm
+        ? bootstrapVmIds.filter((other) => other !== vmId)
+        : listOthers();
       const descriptions = await describeOthers(others);
       const decision = decideBootstrap({ self: replicaId, others: descriptions });
       if (decision.kind === 'wait') {
         logWaitReason(decision.reason);
         return false;
       }
-      if (decision.kind === 'found' && !isFounder) {
+      if (decision.kind === 'found' && !isBootstrapVm) {
         logWaitReason('no control VM has a group, and this VM is not one of the founders');
         return false;
       }
--- a/packages/controller/src/group/raftTransport.ts
+++ b/packages/controller/src/group/raftTransport.ts
@@ -1,5 +1,5 @@
 /** Transport of Raft messages between control VMs. */
-import { vmOfReplica } from '@spoolplank/consensus';
+import { vmIdOfReplica } from '@spoolplank/consensus';
 import type { Message } from '@spoolplank/consensus';
 import type { PeerClient, PeerTarget } from '@spoolplank/node';
 
@@ -49,7 +49,7 @@
 
   return {
     send(message) {
-      const vmId = vmOfReplica(message.to);
+      const vmId = vmIdOfReplica(message.to);
       const target = findTarget(vmId);
       if (!target) return;
       const queue = queues.get(vmId) ?? { waiting: [], isSending: false };
--- a/packages/controller/src/placementLoop.ts
+++ b/packages/controller/src/placementLoop.ts
@@ -3,16 +3,16 @@
   FACT_KEYS,
   findBackend,
   isLeaving,
-  lostAfterMs,
+  announcementTimeoutMs,
   readSlowdown,
 } from '@spoolplank/membership';
 import type { BackendFact, Fact, FactTable, LayerRange, SystemFact } from '@spoolplank/membership';
 import { delay } from '@spoolplank/node';
 import type { EventLog } from '@spoolplank/node';
-import { findMisfit, planPlacement } from '@spoolplank/routing';
+import { findDocumentConflict, planPlacement } from '@spoolplank/routing';
 import type {
   ModelDescription,
-  PlacedEngine,
+  ObservedEngine,
   PlacementOrder,
   RoutingDocument,
 } from '@spoolplank/routing';
@@ -178,14 +178,14 @@
     }
   }
 
-  function toPlaced(row: EngineRow, newestMs: number): PlacedEngine {
+  function toPlaced(row: EngineRow, newestMs: number): ObservedEngine {
     const { body, receivedAtMs } = row;
     const { instanceId, dataCentre, state, engine, slots } = body;
     const nowMs = clock.nowMs();
     const ordered = pending.find(instanceId);
     const range = ordered ?? engine?.held ?? null;
     const isSuspect = isConfirmedLost(row);
-    const isAnnounced = newestMs - receivedAtMs < lostAfterMs(announcementMs);
+    const isAnnounced = newestMs - receivedAtMs < announcementTimeoutMs(announcementMs);
     // A withdrawn engine still serves its streams in flight, which must not be interrupted.
     const isPresent = state === 'gone' ? nowMs - receivedAtMs < DRAIN_GRACE_MS : isAnnounced;
     const isServing = isPresent && !isSuspect;
@@ -259,7 +259,7 @@
     await followLoad({ instanceId, address }, range);
   }
 
-  function mayImprove(dataCentre: string): boolean {
+  function mayRebalance(dataCentre: string): boolean {
     const lastMs = orderedAtMs.get(dataCentre) ?? Number.NEGATIVE_INFINITY;
     return clock.nowMs() - lastMs > IMPROVE_PAUSE_MS;
   }
@@ -288,8 +288,8 @@
     const freeLoads = Math.max(1, model.maxConcurrentLoads) * 2 - pending.size;
     const isFirst = placed.every(({ firstLayer }) => firstLayer === null);
     if (isFirst && isDiscovering(engines)) return;
-    const mayMove = (dataCentre: string) => !losses.isReturnLikely(dataCentre);
-    const plan = planPlacement(placed, model, { mayImprove, mayMove });
+    const mayMoveLayers = (dataCentre: string) => !losses.isReturnLikely(dataCentre);
+    const plan = planPlacement(placed, model, { mayRebalance, mayMoveLayers });
     // The first loads are cheap, and all of them have to finish before requests arrive.
     plan.slice(0, isFirst ? plan.length : Math.max(0, freeLoads)).forEach((order) => {
       const engine = engines.find(({ body }) => body.instanceId === order.id);
@@ -315,7 +315,7 @@
         const engines = table
           .list()
           .filter(isEngineOf(name))
-          .filter(({ body }) => findMisfit(body, document) === null);
+          .filter(({ body }) => findDocumentConflict(body, document) === null);
         if (model && engines.length > 0) placeLayers(name, model, engines);
       });
     },
--- a/packages/controller/src/settings/controlRole.ts
+++ b/packages/controller/src/settings/controlRole.ts
@@ -84,10 +84,10 @@
     vmId: settings.vm.vmId,
     dataCentre: settings.vm.dataCentre,
     dataFolder,
-    founders: controlVms.map(({ vmId }) => vmId),
+    bootstrapVmIds: controlVms.map(({ vmId }) => vmId),
     // All VMs bootstrapped the group, so a replica that joins later replaces a lost identity.
     isFirstStart: false,
-    promise: {
+    faultTolerance: {
       lossesBorne: Math.floor((controlVms.length - 1) / 2),
       catchUpMs: timings.electionTimeoutMs * CATCH_UP_TIMEOUTS,
     },
--- a/packages/entry/__tests__/admissionQueue.spec.ts
+++ b/packages/entry/__tests__/admissionQueue.spec.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { createManualClock } from '@spoolplank/shared';
 import { createAdmissionQueue } from '../src/admission/admissionQueue';
-import type { Wait } from '../src/admission/admissionQueue';
+import type { QueueEntry } from '../src/admission/admissionQueue';
 
 function createQueue(maxLength = 10) {
   const clock = createManualClock();
@@ -29,12 +29,12 @@
     free: (count: number) => {
       slots += count;
     },
-    enter(name: string, overrides: Partial<Wait<string>> = {}) {
-      return queue.enter({
+    enter(name: string, overrides: Partial<QueueEntry<string>> = {}) {
+      return queue.enqueue({
         priority: 1,
         arrivedAtMs: clock.nowMs(),
-        inTimeUntilMs: clock.nowMs() + 100,
-        leavesAtMs: clock.nowMs() + 100,
+        latestStartAtMs: clock.nowMs() + 100,
+        queueDeadlineAtMs: clock.nowMs() + 100,
         isRetry: false,
         find() {
           if (slots === 0) return undefined;
@@ -80,7 +80,7 @@
     const { enter, pass, queue } = createQueue(2);
     let hasLeft = false;
     const waits = [enter('a'), enter('b', { isAbandoned: () => hasLeft })];
-    assert.equal(await enter('late', { inTimeUntilMs: 0 }), undefined);
+    assert.equal(await enter('late', { latestStartAtMs: 0 }), undefined);
     hasLeft = true;
     await pass(10);
     assert.equal(queue.length, 1);
--- a/packages/entry/__tests__/namedLimits.spec.ts
+++ b/packages/entry/__tests__/advertisedLimits.spec.ts
@@ -78,7 +78,7 @@
     assert.ok(countIn(3000, 4000) >= 24, `${countIn(3000, 4000)} in the fourth second`);
     assert.ok(countIn(0, 1000) <= 10, `${countIn(0, 1000)} in the first second`);
     assert.deepEqual(
-      site.vms.map(({ limits }) => limits.perSOf('c1')).filter((perS) => perS !== null),
+      site.vms.map(({ limits }) => limits.limitPerSOf('c1')).filter((perS) => perS !== null),
       [],
       'some VM believes in it still',
     );
--- a/packages/entry/__tests__/backoffFixtures.ts
+++ b/packages/entry/__tests__/backoffFixtures.ts
@@ -47,12 +47,12 @@
  * How a server answers: `busy` rejects without requesting a backoff, `gone` is unreachable, and
  * `limited` sets a rate limit in a successful answer.
  */
-export type Mood = 'fine' | 'backoff' | 'busy' | 'fails' | 'gone' | 'limited';
+export type ServerBehaviour = 'fine' | 'backoff' | 'busy' | 'fails' | 'gone' | 'limited';
 
 /** Limit that a rate-limited server sets. */
 export const LIMIT_PER_S = 0.5;
 
-function createResponse(mood: Mood): BackendResponse {
+function createResponse(mood: ServerBehaviour): BackendResponse {
   const body = new PassThrough();
   const isGood = mood === 'fine' || mood === 'limited';
   body.end(isGood ? 'id: 1\ndata: x\n\n' : '');
@@ -80,7 +80,7 @@
   const tables = createTables();
   const { clock, view, table, announce } = tables;
   SERVERS.forEach((id) => announce(createEngine(id, 0, 8)));
-  const moods = new Map<string, Mood>();
+  const serverBehaviours = new Map<string, ServerBehaviour>();
   const sends: string[] = [];
   let listener: NoticeListener = () => {};
   let onSend = (_id: string): void => {};
@@ -90,7 +90,7 @@
     },
     open({ target }: { readonly target: { readonly instanceId: string } }) {
       const { instanceId } = target;
-      const mood = moods.get(instanceId) ?? 'fine';
+      const mood = serverBehaviours.get(instanceId) ?? 'fine';
       sends.push(instanceId);
       if (mood === 'backoff') listener(createNotice({ instanceId, address: `${instanceId}:80` }));
       onSend(instanceId);
@@ -116,10 +116,10 @@
     metrics: base.metrics,
     table,
     findByAddress: view.findByAddress,
-    spread: () => {},
+    exchangeNow: () => {},
     onBackoff: (directive) => passedOn.push(directive),
   });
-  operations.onNotice(notices.take);
+  operations.onNotice(notices.applyNotice);
   const guarded = guardOperations(operations, { clock, notices, limits: base.limits });
   const context = { ...base, notices, operations: guarded };
   const answers: number[] = [];
@@ -138,14 +138,14 @@
   const stream = createStreamDispatch({
     context,
     streams: createStreamTable({ clock }),
-    slots: { toBegin: findChain, toResume: findChain, retryAfterMs: () => 100 },
-    examine: (id) => assert.equal(moods.get(id), 'gone', 'nothing broke off'),
+    slots: { findForNew: findChain, findForResumed: findChain, retryAfterMs: () => 100 },
+    probeAfterFailure: (id) => assert.equal(serverBehaviours.get(id), 'gone', 'nothing broke off'),
     avoid: () => {},
   });
   const plain = createPlainDispatch(context, permits);
   return {
     ...tables,
-    moods,
+    serverBehaviours,
     sends,
     searches,
     notices,
--- a/packages/entry/__tests__/crashDispatch.spec.ts
+++ b/packages/entry/__tests__/crashDispatch.spec.ts
@@ -87,7 +87,7 @@
       record(run) {
         recordedRuns.push(run);
         const end = { ...run, turn: 0, evidence: 'run' } as const;
-        base.quarantine.recordEnd(end);
+        base.quarantine.recordCrash(end);
         base.quarantine.onFact({ kind: 'crash', ...end });
         return Promise.resolve();
       },
@@ -100,7 +100,7 @@
     ended += 1;
     const run = { content, instanceId: `other-${ended}`, ranMs: 80 };
     const end = { ...run, turn: 0, evidence: 'run' } as const;
-    context.quarantine.recordEnd(end);
+    context.quarantine.recordCrash(end);
     context.quarantine.onFact({ kind: 'crash', ...end });
   }
   for (let count = 0; count < priorCrashes; count += 1) crashElsewhere();
@@ -110,8 +110,8 @@
     return Promise.resolve(createChain(`e${sends + 1}`));
   };
   const slots: SlotFinder = {
-    toBegin: findSlot,
-    toResume: findSlot,
+    findForNew: findSlot,
+    findForResumed: findSlot,
     retryAfterMs: () => 100,
   };
   const streams = createStreamTable({ clock });
@@ -119,7 +119,7 @@
     context,
     streams,
     slots,
-    examine: () => {},
+    probeAfterFailure: () => {},
     avoid: () => {},
   });
   const plain = createPlainDispatch(context, createNoPermits());
--- a/packages/entry/__tests__/crashGuard.spec.ts
+++ b/packages/entry/__tests__/crashGuard.spec.ts
@@ -19,7 +19,7 @@
     startedAtMs: 99_900,
     hasAnswered: true,
     hasBegun: false,
-    cut: (reason: string) => cuts.push(reason),
+    abort: (reason: string) => cuts.push(reason),
     ...row,
   } as StreamRow;
   return { row: created, cuts, digest: digestContent(contentOf(admitted)) };
@@ -27,10 +27,10 @@
 
 interface Setting {
   readonly rows?: readonly StreamRow[];
-  readonly isThere?: boolean;
+  readonly isReachable?: boolean;
 }
 
-function createSetting({ rows = [], isThere = false }: Setting = {}) {
+function createSetting({ rows = [], isReachable = false }: Setting = {}) {
   const clock = createManualClock(100_000);
   let guard: CrashGuard | null = null;
   const table = createFactTable<SystemFact>({
@@ -51,8 +51,8 @@
     view: createTables({ clock, table }).view,
     streams: { list: () => rows } as unknown as StreamTable,
     health: { isLost: (instanceId) => hasRestarted(table, instanceId) },
-    isThere: () => Promise.resolve(isThere),
-    spread: () => {},
+    isReachable: () => Promise.resolve(isReachable),
+    exchangeNow: () => {},
   });
   return {
     guard,
@@ -125,7 +125,7 @@
 
   it('is no crash while only an earlier incarnation, or an earlier server, is known at the address', async () => {
     for (const earlier of ['e1/6', 'e9']) {
-      const { guard, clock, announce } = createSetting({ isThere: true });
+      const { guard, clock, announce } = createSetting({ isReachable: true });
       announce(earlier, 'e1:80');
       clock.advance(2000);
       await guard.crashes.record(RUN);
@@ -138,7 +138,7 @@
   });
 
   it('is a crash once another server has announced itself at the address', async () => {
-    const { guard, clock, announce } = createSetting({ isThere: true });
+    const { guard, clock, announce } = createSetting({ isReachable: true });
     await guard.crashes.record(RUN);
     clock.advance(500);
     announce('e9', 'e1:80');
@@ -148,7 +148,7 @@
   });
 
   it('counts for the next incarnation if that had announced itself before', async () => {
-    const { guard, clock, announce } = createSetting({ isThere: true });
+    const { guard, clock, announce } = createSetting({ isReachable: true });
     announce('e1/8', 'e1:80');
     clock.advance(100);
     await guard.crashes.record(RUN);
@@ -161,7 +161,7 @@
   });
 
   it('counts for the incarnation that it was sent to if the next one came later', async () => {
-    const { guard, clock, announce } = createSetting({ isThere: false });
+    const { guard, clock, announce } = createSetting({ isReachable: false });
     clock.advance(100);
     announce('e1/8', 'e1:80');
     await guard.crashes.record({ ...RUN, ranMs: 150 });
--- a/packages/entry/__tests__/crashReporter.spec.ts
+++ b/packages/entry/__tests__/crashReporter.spec.ts
@@ -4,20 +4,20 @@
 import type { FactUpdate, SystemFact } from '@spoolplank/membership';
 import { createManualClock } from '@spoolplank/shared';
 import { createCrashReporter } from '../src/quarantine/crashReporter';
-import { createOwnStatements } from '../src/gossip/ownStatements';
+import { createFactPublisher } from '../src/gossip/factPublisher';
 import { contentOf, digestContent } from '../src/quarantine/requestContent';
 import { createAdmitted, createRoute } from './fixtures';
 
 const RUN = { content: 'c', instanceId: 's1', address: 's1:80', ranMs: 50 };
 
 interface Setting {
-  readonly isThere?: boolean;
+  readonly isReachable?: boolean;
   readonly isSuspected?: boolean;
   /** Number of VMs that report another VM's open run before this one. */
   readonly rank?: number;
 }
 
-function createSetting({ isThere = true, isSuspected = false, rank = 0 }: Setting = {}) {
+function createSetting({ isReachable = true, isSuspected = false, rank = 0 }: Setting = {}) {
   const clock = createManualClock();
   const ended = new Set<string>();
   let rankingCount = 0;
@@ -31,23 +31,23 @@
     isUrgent: () => true,
     onUrgent: (body) => onFact(body),
   });
-  const statements = createOwnStatements({ clock, table, spread: () => {} });
+  const statements = createFactPublisher({ clock, table, exchangeNow: () => {} });
   const reporter = createCrashReporter({
     clock,
     table,
-    state: statements.state,
+    publish: statements.publish,
     isSuspected: () => isSuspected,
-    isReachable: () => Promise.resolve(isThere),
+    isReachable: () => Promise.resolve(isReachable),
     findReceiver({ instanceId }, sentAtMs) {
       const after = next.get(instanceId);
       return after && after.atMs < sentAtMs ? after.instanceId : instanceId;
     },
-    hasEnded: ({ instanceId }) => ended.has(instanceId) || next.has(instanceId),
+    isLostOrReplaced: ({ instanceId }) => ended.has(instanceId) || next.has(instanceId),
     rankOf() {
       rankingCount += 1;
       return rank;
     },
-    onEnd({ instanceId, turn, evidence }) {
+    onCrash({ instanceId, turn, evidence }) {
       const name = turn === 0 ? instanceId : `${instanceId}#${turn}`;
       seen.push(evidence === 'run' ? name : `${evidence} ${name}`);
     },
@@ -76,7 +76,7 @@
 
 describe('a run whose connection broke', () => {
   it('counts as a crash when its server accepts no more connections', async () => {
-    const { reporter, seen } = createSetting({ isThere: false });
+    const { reporter, seen } = createSetting({ isReachable: false });
     await reporter.record(RUN);
     assert.deepEqual(seen, ['s1']);
   });
--- a/packages/entry/__tests__/dataCentreRank.spec.ts
+++ b/packages/entry/__tests__/dataCentreRank.spec.ts
@@ -23,7 +23,7 @@
 
 function rank(capacities: readonly Fact<CapacityFact>[]): readonly string[] {
   const rated = rankDataCentres({ own: 'a', capacities, service: 'engines', oldestMs: 500 });
-  return rated.map(({ dataCentre, hasRoom }) => `${dataCentre}${hasRoom ? '' : ' full'}`);
+  return rated.map(({ dataCentre, hasCapacity }) => `${dataCentre}${hasCapacity ? '' : ' full'}`);
 }
 
 describe('the order in which data centres are asked for a slot', () => {
--- a/packages/entry/__tests__/decisions.spec.ts
+++ b/packages/entry/__tests__/decisions.spec.ts
@@ -5,7 +5,7 @@
 import { readKeyTimestamp } from '../src/sessions/callerRequest';
 import { copyRequestHeaders } from '../src/sessions/forwardedHeaders';
 import { createSessionStore, toSessionUpdate } from '../src/sessions/sessionStore';
-import { createStagePatience } from '../src/sessions/stagePatience';
+import { createChainFailureDetector } from '../src/sessions/chainFailureDetector';
 
 describe('reach of a settings version', () => {
   it('counts a VM as silent only after its lease must have expired', () => {
@@ -83,7 +83,11 @@
 describe('failure detector of a chain', () => {
   it('learns from the intervals between tokens, but not from the prefill', () => {
     const clock = createManualClock();
-    const detector = createStagePatience({ clock, estimatedStepMs: 20, prefillTokens: 1000 });
+    const detector = createChainFailureDetector({
+      clock,
+      estimatedStepMs: 20,
+      prefillTokens: 1000,
+    });
     assert.equal(detector.suspectAtMs(), 1200);
     clock.advance(900);
     detector.observe();
@@ -100,7 +104,7 @@
 describe('degradation of a chain', () => {
   it('is reported for a chain that becomes slow, but not for one that was always slow', () => {
     const clock = createManualClock();
-    const detector = createStagePatience({ clock, estimatedStepMs: 20, prefillTokens: 0 });
+    const detector = createChainFailureDetector({ clock, estimatedStepMs: 20, prefillTokens: 0 });
     const receiveTokens = (count: number, gapMs: number) => {
       for (let tokens = 0; tokens < count; tokens += 1) {
         clock.advance(gapMs);
--- a/packages/entry/__tests__/engineRuns.spec.ts
+++ b/packages/entry/__tests__/engineRuns.spec.ts
@@ -24,7 +24,7 @@
     metrics: createMetrics(),
     table,
     dataCentre: 'a',
-    spread: () => {},
+    exchangeNow: () => {},
   });
   function announce(fact: BackendFact, sequence: number): void {
     const { incarnation } = parseInstanceId(fact.instanceId);
@@ -50,7 +50,7 @@
     announce(createEngine('a1/1', 0, 4), 40);
     announce(createEngine('a1/2', 0, 4), 1);
     health.suspect('a1/1', 'no-connection');
-    assert.deepEqual(health.listStatements(), []);
+    assert.deepEqual(health.listOutgoingFacts(), []);
     assert.equal(table.find(FACT_KEYS.suspicion('a1/1')), undefined);
     assert.equal(health.isLost('a1/2'), false);
   });
--- a/packages/entry/__tests__/fixtures.ts
+++ b/packages/entry/__tests__/fixtures.ts
@@ -13,7 +13,7 @@
 import type { PermitFinder } from '../src/limits/permitFinder';
 import { createServerLimits } from '../src/limits/serverLimits';
 import { createChainChoice } from '../src/dispatch/chainChoice';
-import { createOwnStatements } from '../src/gossip/ownStatements';
+import { createFactPublisher } from '../src/gossip/factPublisher';
 import { createQuarantine } from '../src/quarantine/quarantine';
 import { createRoutingView } from '../src/gossip/routingView';
 import { createServerNotices } from '../src/dispatch/serverNotices';
@@ -73,7 +73,7 @@
     readDocument: (document) => document,
     syncedAtMs: () => syncedAtMs,
     announcementMs,
-    ownStatedLoad: () => ({}),
+    ownPublishedLoad: () => ({}),
   });
   return {
     clock,
@@ -103,7 +103,7 @@
     log,
     metrics: createMetrics(),
     table,
-    statements: createOwnStatements({ clock, table, spread: () => {} }),
+    publisher: createFactPublisher({ clock, table, exchangeNow: () => {} }),
   });
   const notices = createServerNotices({
     clock,
@@ -111,7 +111,7 @@
     metrics: createMetrics(),
     table,
     findByAddress: view.findByAddress,
-    spread: () => {},
+    exchangeNow: () => {},
   });
   return {
     clock,
@@ -194,16 +194,16 @@
     service: 'engines',
     organisation: null,
     callerAgeMs: 0,
-    endsAtMs: clock.nowMs() + route.timeoutMs,
+    deadlineAtMs: clock.nowMs() + route.timeoutMs,
   };
 }
 
 /** Creates a permit finder that reaches no allocator. */
 export function createNoPermits(): PermitFinder {
   return {
-    look: () => Promise.resolve(undefined),
-    wait: () => Promise.resolve({ kind: 'unavailable' }),
-    end: () => {},
+    tryAcquire: () => Promise.resolve(undefined),
+    acquire: () => Promise.resolve({ kind: 'unavailable' }),
+    recordEnded: () => {},
   };
 }
 
@@ -217,8 +217,8 @@
     inFlight: 0,
     grantedBy: null,
     hasPermit: false,
-    hasRoom: true,
-    hasRoomForBegun: true,
+    hasCapacity: true,
+    hasCapacityForResumed: true,
   };
 }
 
@@ -229,12 +229,12 @@
   return createChainChoice({
     dataCentre: 'a',
     ownInFlight: () => 0,
-    entries: () => 1,
-    unseenInFlight: () => 0,
+    countEntries: () => 1,
+    unreportedInFlight: () => 0,
     firstEventMs: () => 0,
     isAvoided: () => false,
     backoffMsOf: () => 0,
-    maySendAlone: () => true,
+    maySendWithoutPermit: () => true,
     ...options,
   });
 }
--- a/packages/entry/__tests__/incompletePath.spec.ts
+++ b/packages/entry/__tests__/incompletePath.spec.ts
@@ -30,7 +30,7 @@
     chains: { listOf: () => [] },
     modelOf: () => undefined,
     listServers: () => [ENGINE],
-    limits: { perSOf: () => null, ratePerS: () => Infinity, hasPermit: () => true },
+    limits: { limitPerSOf: () => null, ratePerS: () => Infinity, hasPermit: () => true },
     inFlightOn: () => 0,
     firstEventMs: () => 0,
   });
@@ -73,8 +73,8 @@
       const dispatch = createStreamDispatch({
         context: createContext(clock, createTables().view, operations),
         streams: createStreamTable({ clock }),
-        slots: { toBegin: findSlot, toResume: findSlot, retryAfterMs: () => 100 },
-        examine: () => {},
+        slots: { findForNew: findSlot, findForResumed: findSlot, retryAfterMs: () => 100 },
+        probeAfterFailure: () => {},
         avoid: () => {},
       });
       const admitted = createAdmitted(clock, createRoute('stream'));
--- a/packages/entry/__tests__/limitDispatch.spec.ts
+++ b/packages/entry/__tests__/limitDispatch.spec.ts
@@ -11,18 +11,18 @@
   const left = [...permitted];
   const ended: Permit[] = [];
   const permits: PermitFinder = {
-    look({ ticket }, servers) {
+    tryAcquire({ ticket }, servers) {
       calls.push('look');
       const instanceId = servers.find((server) => left.includes(server.instanceId))?.instanceId;
       if (instanceId === undefined) return Promise.resolve(undefined);
       left.splice(left.indexOf(instanceId), 1);
       return Promise.resolve({ instanceId, dataCentre: 'a', ticket });
     },
-    wait() {
+    acquire() {
       calls.push('wait');
       return Promise.resolve(outcome ?? { kind: 'unavailable' });
     },
-    end: (permit) => ended.push(permit),
+    recordEnded: (permit) => ended.push(permit),
   };
   return { calls, ended, permits };
 }
@@ -31,7 +31,7 @@
 
 /** Sets the limit of each server, and has the VM receive it once. */
 async function nameLimits(setting: Setting, servers: readonly string[]): Promise<void> {
-  servers.forEach((id) => setting.moods.set(id, 'limited'));
+  servers.forEach((id) => setting.serverBehaviours.set(id, 'limited'));
   for (const id of servers) {
     const target = { instanceId: id, address: `${id}:80` };
     setting.limits.recordAnswer(target, { kind: 'named', perS: LIMIT_PER_S }, 0);
@@ -100,7 +100,7 @@
     const { calls, permits } = createPermits([], { kind: 'refused', retryInMs: 4321 });
     const setting = createBackoffSetting('safe', permits);
     await nameLimits(setting, ['e1', 'e2']);
-    setting.moods.set('e3', 'fails');
+    setting.serverBehaviours.set('e3', 'fails');
     const end = await setting.send();
     assert.equal(end.outcome, 'failed-there');
     assert.deepEqual(setting.answers, [500]);
--- a/packages/entry/__tests__/limitFixtures.ts
+++ b/packages/entry/__tests__/limitFixtures.ts
@@ -49,11 +49,11 @@
   let namingInterval = 1;
   let answers = 0;
 
-  const perSOf = (id: string): number | null => steps.get(id)?.at(-1)?.perS ?? null;
+  const limitPerSOf = (id: string): number | null => steps.get(id)?.at(-1)?.perS ?? null;
 
   function answer(id: string, vm: Vm, sentAtMs: number): void {
     answers += 1;
-    const perS = perSOf(id);
+    const perS = limitPerSOf(id);
     const isNamed = perS !== null && answers % namingInterval === 0;
     const headMs = HEAD_MS * (1 + random.nextInt(HEAD_STEPS));
     site.schedule(() => {
@@ -69,7 +69,8 @@
 
   /** Sends unless the VM knows a limit and has no permit, like the last check before a send. */
   function trySend(vm: Vm, id: string, hasPermit: boolean): boolean {
-    if (!hasPermit && vm.limits.perSOf(id) !== null && !vm.limits.takeOwnQuota(id)) return false;
+    if (!hasPermit && vm.limits.limitPerSOf(id) !== null && !vm.limits.takeOwnQuota(id))
+      return false;
     const atMs = clock.nowMs();
     const namedAtMs = firstNamedAtMs.get(`${vm.host} ${id}`) ?? Number.POSITIVE_INFINITY;
     arrivals
@@ -81,7 +82,7 @@
   }
 
   function sendAlone(vm: Vm): void {
-    const id = servers.find((server) => vm.limits.maySendAlone(server));
+    const id = servers.find((server) => vm.limits.maySendWithoutPermit(server));
     if (id === undefined || !trySend(vm, id, false)) outcomes.refused += 1;
   }
 
@@ -162,7 +163,7 @@
 
   /** Requests that a server received within a period, as a share of what its limit allows. */
   function usedShare(id: string, fromMs: number, endMs: number): number {
-    const perS = perSOf(id) ?? Number.POSITIVE_INFINITY;
+    const perS = limitPerSOf(id) ?? Number.POSITIVE_INFINITY;
     const count = (arrivals.get(id) ?? []).filter(
       ({ atMs }) => atMs > fromMs && atMs <= endMs,
     ).length;
--- a/packages/entry/__tests__/lostReporter.spec.ts
+++ b/packages/entry/__tests__/lostReporter.spec.ts
@@ -59,15 +59,15 @@
     view,
     streams: { list: () => [] } as unknown as StreamTable,
     health: { isLost: () => false },
-    isThere: () => Promise.resolve(true),
-    spread: () => {},
+    isReachable: () => Promise.resolve(true),
+    exchangeNow: () => {},
   });
   guard = created;
   return {
     view,
     crashes: created.crashes,
     quarantine: created.quarantine,
-    listUpdates: () => created.quarantine.listStatements(),
+    listUpdates: () => created.quarantine.listOutgoingFacts(),
     mergeFacts: (updates: readonly FactUpdate<SystemFact>[]) =>
       table.merge(updates, clock.nowMs(), 'c'),
     /** Receives the announcement of the next server at an address. */
@@ -95,8 +95,8 @@
   const context = { ...createContext(clock, view, operations), quarantine, crashes };
   const findSlot = () => Promise.resolve(createChain('e1'));
   const slots: SlotFinder = {
-    toBegin: findSlot,
-    toResume: findSlot,
+    findForNew: findSlot,
+    findForResumed: findSlot,
     retryAfterMs: () => 100,
   };
   const streams = createStreamTable({ clock });
@@ -105,14 +105,14 @@
     context,
     streams,
     slots,
-    examine: ignore,
+    probeAfterFailure: ignore,
     avoid: ignore,
   });
   const admitted = createAdmitted(clock, createRoute('stream', { maxAttempts: 1 }));
   const content = digestContent(contentOf(admitted));
   for (let count = 1; count <= runsBefore; count += 1) {
     const run = { content, instanceId: `earlier-${count}`, turn: 0, ranMs: 40 };
-    quarantine.recordEnd({ ...run, evidence: 'run' });
+    quarantine.recordCrash({ ...run, evidence: 'run' });
   }
   await dispatch.run(admitted, MODEL).catch((error: unknown) => {
     assert.ok(error instanceof SpoolplankError);
--- a/packages/entry/__tests__/plainDispatch.spec.ts
+++ b/packages/entry/__tests__/plainDispatch.spec.ts
@@ -54,7 +54,7 @@
     service: 'engines',
     organisation: null,
     callerAgeMs: 0,
-    endsAtMs: clock.nowMs() + 600,
+    deadlineAtMs: clock.nowMs() + 600,
   };
   return { calls, clock, run: () => dispatch.run(admitted) };
 }
--- a/packages/entry/__tests__/quarantine.spec.ts
+++ b/packages/entry/__tests__/quarantine.spec.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { createFactTable, CRASH_RETENTION_MS, retentionOf } from '@spoolplank/membership';
+import { createFactTable, CRASH_RETENTION_MS, retentionMsOf } from '@spoolplank/membership';
 import type { FactUpdate, SystemFact } from '@spoolplank/membership';
 import { createEventLog, createMetrics } from '@spoolplank/node';
 import { createManualClock, createSeededRandom, SpoolplankError } from '@spoolplank/shared';
 import type { ManualClock } from '@spoolplank/shared';
-import { createOwnStatements } from '../src/gossip/ownStatements';
+import { createFactPublisher } from '../src/gossip/factPublisher';
 import { createQuarantine } from '../src/quarantine/quarantine';
 import type { Quarantine } from '../src/quarantine/quarantine';
 import { digestContent } from '../src/quarantine/requestContent';
@@ -18,7 +18,7 @@
 
 interface Vm {
   readonly quarantine: Quarantine;
-  /** Number of statements that requested an immediate exchange. */
+  /** Number of published facts that requested an immediate exchange. */
   readonly spreads: () => number;
   /** Records the crash of a server while it ran a content. */
   end(content: RequestContent, instanceId: string, ranMs?: number): void;
@@ -39,10 +39,10 @@
     isUrgent: () => true,
     onUrgent: (body) => onFact(body),
   });
-  const statements = createOwnStatements({
+  const statements = createFactPublisher({
     clock,
     table,
-    spread: () => {
+    exchangeNow: () => {
       spreads += 1;
     },
   });
@@ -52,7 +52,7 @@
     log: createEventLog({ vmId: name, clock, writeChunk: () => {} }),
     metrics: createMetrics(),
     table,
-    statements,
+    publisher: statements,
   });
   onFact = (body) => {
     if (body.kind === 'crash' || body.kind === 'clearance') quarantine.onFact(body);
@@ -62,13 +62,13 @@
     spreads: () => spreads,
     end(content, instanceId, ranMs = 80) {
       const run = { content: digestContent(content), instanceId, turn: 0, ranMs };
-      quarantine.recordEnd({ ...run, evidence: 'run' });
+      quarantine.recordCrash({ ...run, evidence: 'run' });
     },
-    state: () => quarantine.listStatements(),
+    state: () => quarantine.listOutgoingFacts(),
     mergeFacts: (updates) => table.merge(updates, clock.nowMs(), name),
     listAll: () => table.deltaSince('', 0).updates,
     sweep() {
-      table.sweep(retentionOf);
+      table.sweep(retentionMsOf);
       statements.sweep();
       quarantine.sweep();
     },
@@ -166,10 +166,10 @@
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     vm.end(deadly, 's1');
-    assert.equal(vm.quarantine.maySendOn(deadly), true);
+    assert.equal(vm.quarantine.mayRetry(deadly), true);
     vm.end(deadly, 's2');
-    assert.equal(vm.quarantine.maySendOn(deadly), false);
-    assert.equal(vm.quarantine.maySendOn(createContent('honest')), true);
+    assert.equal(vm.quarantine.mayRetry(deadly), false);
+    assert.equal(vm.quarantine.mayRetry(createContent('honest')), true);
   });
 
   it('is counted once for a run that was reported as an attempt before', () => {
@@ -177,7 +177,7 @@
     const deadly = createContent('deadly');
     const content = digestContent(deadly);
     ['s1', 's2', 's3'].forEach((instanceId) =>
-      vm.quarantine.recordEnd({ content, instanceId, turn: 0, evidence: 'attempt', ranMs: 0 }),
+      vm.quarantine.recordCrash({ content, instanceId, turn: 0, evidence: 'attempt', ranMs: 0 }),
     );
     assert.equal(vm.quarantine.has(deadly), false, 'nothing shows that it was run');
     vm.end(deadly, 's1');
@@ -190,7 +190,7 @@
     const vm = createVm(createManualClock());
     const deadly = createContent('deadly');
     const run = { content: digestContent(deadly), instanceId: 's1', ranMs: 40 };
-    [0, 1, 1, 2].forEach((turn) => vm.quarantine.recordEnd({ ...run, turn, evidence: 'run' }));
+    [0, 1, 1, 2].forEach((turn) => vm.quarantine.recordCrash({ ...run, turn, evidence: 'run' }));
     assert.equal(vm.quarantine.has(deadly), true);
   });
 
@@ -199,8 +199,8 @@
     const deadly = createContent('deadly');
     vm.end(deadly, 's1');
     const run = { content: digestContent(deadly), instanceId: 's1', turn: 0, ranMs: 0 };
-    vm.quarantine.recordEnd({ ...run, evidence: 'attempt' });
-    assert.equal(vm.quarantine.maySendOn(deadly), true);
+    vm.quarantine.recordCrash({ ...run, evidence: 'attempt' });
+    assert.equal(vm.quarantine.mayRetry(deadly), true);
   });
 
   it('is cleared of the earlier crashes when it is served, but not of later ones', () => {
--- a/packages/entry/__tests__/readiness.spec.ts
+++ b/packages/entry/__tests__/readiness.spec.ts
@@ -45,7 +45,7 @@
 
   it('continues to serve while it leaves, but is not ready', () => {
     const { readiness } = createSetting();
-    readiness.beginLeaving();
+    readiness.beginDraining();
     assert.deepEqual(
       [readiness.isReady(), readiness.memberState(), readiness.isReadyToRoute()],
       [false, 'leaving', true],
--- a/packages/entry/__tests__/routingView.spec.ts
+++ b/packages/entry/__tests__/routingView.spec.ts
@@ -77,12 +77,12 @@
       random: createSeededRandom(1),
       dataCentre: 'a',
       ownInFlight: (headId) => own[headId] ?? 0,
-      entries: () => 1,
-      unseenInFlight: () => 0,
+      countEntries: () => 1,
+      unreportedInFlight: () => 0,
       firstEventMs: (headId) => (headId === slow ? 2000 : 50),
       isAvoided: () => false,
       backoffMsOf: () => 0,
-      maySendAlone: () => true,
+      maySendWithoutPermit: () => true,
       ...overrides,
     });
     tables.announce(createEngine('a1', 0, 4));
@@ -120,10 +120,10 @@
 
   it('admits no new stream to a chain that is nearly full, as loads are known late', () => {
     const { chains } = createChoice({ a1: 3, b1: 3 });
-    assert.equal(chains.choose('engines', MODEL, none)?.hasRoom, true);
+    assert.equal(chains.choose('engines', MODEL, none)?.hasCapacity, true);
     const full = createChoice({ a1: 4.5, b1: 4.5 });
     const chain = full.chains.choose('engines', MODEL, none);
-    assert.equal(chain?.hasRoom, false);
+    assert.equal(chain?.hasCapacity, false);
     assert.ok(chain && chain.inFlight < chain.capacity);
   });
 
@@ -131,22 +131,22 @@
     const { chains } = createChoice({ a1: 4.5, b1: 3 }, 'b1');
     const chain = chains.choose('engines', MODEL, none);
     assert.equal(chain?.dataCentre, 'b');
-    assert.equal(chain.hasRoom, true);
+    assert.equal(chain.hasCapacity, true);
   });
 
   it('guarantees each of two entries its own half, whatever load the other one seems to have', () => {
-    const seemsFull = { entries: () => 2, unseenInFlight: () => 100 };
+    const seemsFull = { countEntries: () => 2, unreportedInFlight: () => 100 };
     const free = createChoice({ a1: 1, b1: 1 }, '', seemsFull);
-    assert.equal(free.chains.choose('engines', MODEL, none)?.hasRoom, true);
+    assert.equal(free.chains.choose('engines', MODEL, none)?.hasCapacity, true);
     const taken = createChoice({ a1: 2.5, b1: 2.5 }, '', seemsFull);
-    assert.equal(taken.chains.choose('engines', MODEL, none)?.hasRoom, false);
+    assert.equal(taken.chains.choose('engines', MODEL, none)?.hasCapacity, false);
   });
 
   it('lets an entry exceed its quota only up to a share of the chain', () => {
-    const { chains } = createChoice({ a1: 4, b1: 4 }, '', { entries: () => 9 });
+    const { chains } = createChoice({ a1: 4, b1: 4 }, '', { countEntries: () => 9 });
     const chain = chains.choose('engines', MODEL, none);
-    assert.equal(chain?.hasRoom, false);
-    assert.equal(chain.hasRoomForBegun, true);
+    assert.equal(chain?.hasCapacity, false);
+    assert.equal(chain.hasCapacityForResumed, true);
   });
 
   it('avoids a slow engine when another one holds the same layers', () => {
--- a/packages/entry/__tests__/serverBackoff.spec.ts
+++ b/packages/entry/__tests__/serverBackoff.spec.ts
@@ -17,7 +17,7 @@
   for (const kind of ['stream', 'safe', 'once'] as const) {
     it(`is sent to another server, as is the next request (${kind})`, async () => {
       const setting = createBackoffSetting(kind);
-      SERVERS.slice(0, 2).forEach((id) => setting.moods.set(id, 'backoff'));
+      SERVERS.slice(0, 2).forEach((id) => setting.serverBehaviours.set(id, 'backoff'));
       assert.equal((await setting.send()).outcome, 'served');
       const first = [...setting.sends];
       assert.equal(new Set(first).size, first.length, 'no server received it twice');
@@ -33,7 +33,7 @@
 
     it(`is not sent to that server again even without a backoff, but the next one may be (${kind})`, async () => {
       const setting = createBackoffSetting(kind);
-      SERVERS.forEach((id) => setting.moods.set(id, 'busy'));
+      SERVERS.forEach((id) => setting.serverBehaviours.set(id, 'busy'));
       const error = await refusalOf(setting.send());
       assert.equal(error.outcome, 'not-run');
       assert.deepEqual([...setting.sends].sort(), SERVERS);
@@ -44,8 +44,8 @@
 
   it('may use a chain whose first engine was unreachable, once the chain is repaired', async () => {
     const setting = createBackoffSetting('stream');
-    setting.moods.set('e1', 'gone');
-    setting.whenSent(() => setTimeout(() => setting.moods.delete('e1'), 0));
+    setting.serverBehaviours.set('e1', 'gone');
+    setting.whenSent(() => setTimeout(() => setting.serverBehaviours.delete('e1'), 0));
     await setting.send().catch(() => {});
     assert.ok(setting.searches.length > 1);
     setting.searches.forEach(({ excludedHeads }) => assert.equal(excludedHeads.size, 0));
@@ -53,7 +53,7 @@
 
   it('is refused at once with a time to retry after when all servers are in backoff', async () => {
     const setting = createBackoffSetting('safe');
-    SERVERS.forEach((id) => setting.notices.take(createNotice({ instanceId: id })));
+    SERVERS.forEach((id) => setting.notices.applyNotice(createNotice({ instanceId: id })));
     setting.clock.advance(500);
     const first = await refusalOf(setting.send());
     const second = await refusalOf(setting.send());
@@ -65,19 +65,19 @@
 
   it('is refused until the earliest end of a backoff when all servers rejected it', async () => {
     const setting = createBackoffSetting('safe');
-    SERVERS.forEach((id) => setting.moods.set(id, 'backoff'));
+    SERVERS.forEach((id) => setting.serverBehaviours.set(id, 'backoff'));
     const error = await refusalOf(setting.send());
     assert.equal(error.retryAfterMs, BACKOFF_MS);
   });
 
   it('is never refused as not run once a server may have run it', async () => {
     const setting = createBackoffSetting('safe');
-    setting.moods.set('e1', 'fails');
-    setting.moods.set('e2', 'fails');
-    setting.moods.set('e3', 'fails');
+    setting.serverBehaviours.set('e1', 'fails');
+    setting.serverBehaviours.set('e2', 'fails');
+    setting.serverBehaviours.set('e3', 'fails');
     setting.whenSent((id) =>
       SERVERS.filter((other) => other !== id).forEach((other) =>
-        setting.notices.take(createNotice({ instanceId: other })),
+        setting.notices.applyNotice(createNotice({ instanceId: other })),
       ),
     );
     const end = await setting.send();
@@ -98,7 +98,7 @@
       isHeldBack(id: string) {
         if (!isHidden || id !== 'e1') return isHeldBack(id);
         isHidden = false;
-        setting.notices.take(createNotice());
+        setting.notices.applyNotice(createNotice());
         return false;
       },
     });
--- a/packages/entry/__tests__/slotFixtures.ts
+++ b/packages/entry/__tests__/slotFixtures.ts
@@ -141,7 +141,7 @@
       ...telemetry,
       countEntries,
     });
-    const isFirst = () => rank.find('a')?.host === host;
+    const isAllocator = () => rank.find('a')?.host === host;
     const isConfigured = () => vms.find((vm) => vm.host === host)?.isConfigured ?? true;
     const allocator = createSlotAllocator({
       clock,
@@ -160,7 +160,7 @@
       }),
       reportedInFlight: (headId) => reportedLoads.get(headId) ?? 0,
       firstEventMs: () => 0,
-      isFirst,
+      isAllocator,
     });
     const client = createSlotClient({
       clock,
@@ -198,7 +198,7 @@
 
   function toRequest(vm: Vm, ticket: string, overrides: Partial<SlotRequest>): SlotRequest {
     const arrivedAtMs = clock.nowMs();
-    const leavesAtMs = arrivedAtMs + 1200;
+    const queueDeadlineAtMs = arrivedAtMs + 1200;
     return {
       ticket,
       service: 'engines',
@@ -207,11 +207,11 @@
       hasBegun: false,
       isRetry: false,
       arrivedAtMs,
-      inTimeUntilMs: arrivedAtMs + 400,
-      leavesAtMs,
+      latestStartAtMs: arrivedAtMs + 400,
+      queueDeadlineAtMs,
       excludedHeads: new Set(),
-      rankDataCentres: () => (chains.length > 0 ? [{ dataCentre: 'a', hasRoom: true }] : []),
-      isAbandoned: () => !vm.isUp || clock.nowMs() >= leavesAtMs,
+      rankDataCentres: () => (chains.length > 0 ? [{ dataCentre: 'a', hasCapacity: true }] : []),
+      isAbandoned: () => !vm.isUp || clock.nowMs() >= queueDeadlineAtMs,
       ...overrides,
     };
   }
--- a/packages/entry/__tests__/slots.spec.ts
+++ b/packages/entry/__tests__/slots.spec.ts
@@ -11,7 +11,7 @@
     const results = site.vms.flatMap((vm) =>
       [0, 1, 2, 3].map((index) =>
         site.send(vm, `w${index}`, {
-          rankDataCentres: () => [{ dataCentre: 'a', hasRoom: true }],
+          rankDataCentres: () => [{ dataCentre: 'a', hasCapacity: true }],
         }),
       ),
     );
@@ -43,8 +43,8 @@
     const nowMs = site.clock.nowMs();
     const outcomes = site.send(late, 'one-more', {
       arrivedAtMs: nowMs - 700,
-      inTimeUntilMs: nowMs - 300,
-      leavesAtMs: nowMs + 500,
+      latestStartAtMs: nowMs - 300,
+      queueDeadlineAtMs: nowMs + 500,
     });
     await site.pass(10);
     const refused = outcomes.map((outcome) => (outcome.kind === 'refused' ? outcome.reason : ''));
--- a/packages/entry/__tests__/streamRepair.spec.ts
+++ b/packages/entry/__tests__/streamRepair.spec.ts
@@ -73,7 +73,7 @@
       service: 'engines',
       organisation: null,
       callerAgeMs: 0,
-      endsAtMs: clock.nowMs() + 20_000,
+      deadlineAtMs: clock.nowMs() + 20_000,
     },
     model: MODEL,
     ticket: 'r/0',
@@ -94,8 +94,8 @@
     isChecking: false,
     isRepairing: false,
     isPaused: false,
-    cutReason: null,
-    cut: (reason) => cuts.push(reason),
+    abortReason: null,
+    abort: (reason) => cuts.push(reason),
   };
   streams.add(row);
   return {
--- a/packages/entry/__tests__/syncHistory.spec.ts
+++ b/packages/entry/__tests__/syncHistory.spec.ts
@@ -21,30 +21,30 @@
 describe('the list of members on a VM', () => {
   it('is complete after facts were exchanged for as long as a new member stays unknown', () => {
     const { history, pass } = createHistory();
-    assert.equal(history.isSettled(), false);
+    assert.equal(history.isMembershipComplete(), false);
     pass(2000, true);
-    assert.equal(history.isSettled(), false);
+    assert.equal(history.isMembershipComplete(), false);
     pass(1000, true);
-    assert.equal(history.isSettled(), true);
+    assert.equal(history.isMembershipComplete(), true);
   });
 
   it('is incomplete while no control VM replies, and for the same time afterwards', () => {
     const { history, pass } = createHistory();
     pass(4000, true);
     pass(3000, false);
-    assert.equal(history.isSettled(), false);
+    assert.equal(history.isMembershipComplete(), false);
     pass(2000, true);
-    assert.equal(history.isSettled(), false);
+    assert.equal(history.isMembershipComplete(), false);
     pass(1000, true);
-    assert.equal(history.isSettled(), true);
+    assert.equal(history.isMembershipComplete(), true);
   });
 
   it('is incomplete after a suspension', () => {
     const { clock, history, pass } = createHistory();
     pass(4000, true);
     clock.suspend(10_000);
-    assert.equal(history.isSettled(), false);
+    assert.equal(history.isMembershipComplete(), false);
     pass(1000, true);
-    assert.equal(history.isSettled(), false);
+    assert.equal(history.isMembershipComplete(), false);
   });
 });
--- a/packages/entry/index.ts
+++ b/packages/entry/index.ts
@@ -5,5 +5,5 @@
 export { createEntryRole } from './src/sessions/entryRole';
 export type { EntryRole } from './src/sessions/entryRole';
 export { createSessionStore } from './src/sessions/sessionStore';
-export { createStagePatience } from './src/sessions/stagePatience';
-export type { StagePatience } from './src/sessions/stagePatience';
+export { createChainFailureDetector } from './src/sessions/chainFailureDetector';
+export type { ChainFailureDetector } from './src/sessions/chainFailureDetector';
--- a/packages/entry/src/admission/admissionQueue.ts
+++ b/packages/entry/src/admission/admissionQueue.ts
@@ -2,7 +2,7 @@
  * Queues requests that wait for a slot, in the order of `compareQueued`. A slot is the permission
  * to put the load of one request on a chain of engines.
  */
-import { compareQueued, isHopeless } from '@spoolplank/routing';
+import { compareQueued, willMissQueueDeadline } from '@spoolplank/routing';
 import type { QueuedRequest } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
 
@@ -15,7 +15,7 @@
   readonly pollMs: number;
 }
 
-export interface Wait<Slot> extends QueuedRequest {
+export interface QueueEntry<Slot> extends QueuedRequest {
   /** Tries to take a slot; undefined if there is none. */
   readonly find: () => Slot | undefined;
   /**
@@ -38,11 +38,11 @@
    * Resolves with a slot, at once if one is free and no request is ahead, or with undefined if the
    * request left the queue without one or would wait in vain.
    */
-  enter<Slot>(wait: Wait<Slot>): Promise<Slot | undefined>;
+  enqueue<Slot>(wait: QueueEntry<Slot>): Promise<Slot | undefined>;
 }
 
 interface Ticket {
-  readonly wait: Wait<unknown>;
+  readonly wait: QueueEntry<unknown>;
   /** Ends the wait, with a slot or without one. */
   readonly settle: (slot: unknown) => void;
   /** Ends the wait with the error that `find` threw. */
@@ -93,7 +93,7 @@
   function removeEnded(): void {
     const nowMs = clock.nowMs();
     queue
-      .filter(({ wait }) => nowMs >= wait.leavesAtMs || wait.isAbandoned())
+      .filter(({ wait }) => nowMs >= wait.queueDeadlineAtMs || wait.isAbandoned())
       .forEach((ticket) => remove(ticket, undefined));
   }
 
@@ -149,7 +149,7 @@
     return queue.filter((ticket) => compareQueued(ticket.wait, wait, nowMs) <= 0).length;
   }
 
-  function join<Slot>(wait: Wait<Slot>): Promise<Slot | undefined> {
+  function join<Slot>(wait: QueueEntry<Slot>): Promise<Slot | undefined> {
     return new Promise((resolve, reject) => {
       queue.push({ wait, settle: (slot) => resolve(slot as Slot | undefined), fail: reject });
       sortQueue();
@@ -164,16 +164,16 @@
       return queue.length;
     },
     slotsPerS,
-    async enter(wait) {
+    async enqueue(wait) {
       const ahead = countAhead(wait);
       const slot = ahead === 0 ? wait.find() : undefined;
       if (slot !== undefined) {
         recordGrant();
         return slot;
       }
-      const remainingMs = wait.leavesAtMs - clock.nowMs();
+      const remainingMs = wait.queueDeadlineAtMs - clock.nowMs();
       const limitedPerS = wait.limitedPerS?.() ?? null;
-      if (isHopeless({ ahead, slotsPerS: slotsPerS(), remainingMs, limitedPerS })) {
+      if (willMissQueueDeadline({ ahead, slotsPerS: slotsPerS(), remainingMs, limitedPerS })) {
         return undefined;
       }
       return join(wait);
--- a/packages/entry/src/admission/backoffWaits.ts
+++ b/packages/entry/src/admission/backoffWaits.ts
@@ -28,7 +28,7 @@
 
 export function createBackoffWaits({ clock, delay, backoffs }: BackoffWaitsOptions): BackoffWaits {
   return {
-    async wait({ service, request, answer, endsAtMs }, backoffEndsInMs) {
+    async wait({ service, request, answer, deadlineAtMs }, backoffEndsInMs) {
       let backoffMs = backoffEndsInMs();
       while (backoffMs > 0 && !answer.isClosed) {
         // Later than the end of the backoff if other requests were assigned the times before.
@@ -36,7 +36,11 @@
         const nowMs = clock.nowMs();
         const waitedMs = nowMs - request.arrivedAtMs;
         if (
-          !isBackoffWorthWaiting({ turnInMs: retryInMs, remainingMs: endsAtMs - nowMs, waitedMs })
+          !isBackoffWorthWaiting({
+            turnInMs: retryInMs,
+            remainingMs: deadlineAtMs - nowMs,
+            waitedMs,
+          })
         ) {
           const detail = `All servers back off; the earliest is available in ${Math.ceil(backoffMs)} ms.`;
           throw new SpoolplankError('no-backend-server', { detail, retryAfterMs: retryInMs });
--- a/packages/entry/src/admission/requestAdmission.ts
+++ b/packages/entry/src/admission/requestAdmission.ts
@@ -20,7 +20,7 @@
 
 export interface RequestAdmission {
   /** Refuses all new requests from now on, as not run. */
-  refuseNew(): void;
+  refuseNewRequests(): void;
   /**
    * Admits a request and selects its service. Waits while this process is starting up.
    *
@@ -86,12 +86,12 @@
       service: drawTarget(route.targets, random).service,
       organisation: organisation ?? null,
       callerAgeMs: callerAge.estimateMs(group, request.deadlineMs),
-      endsAtMs: request.arrivedAtMs + limitMs,
+      deadlineAtMs: request.arrivedAtMs + limitMs,
     };
   }
 
   return {
-    refuseNew() {
+    refuseNewRequests() {
       isRefusing = true;
     },
     async admit(request, answer) {
--- a/packages/entry/src/callerRequest.ts
+++ b/packages/entry/src/callerRequest.ts
@@ -45,7 +45,7 @@
   /**
    * Closes the connection, so that the truncated response cannot be taken for a complete response.
    */
-  cut(): void;
+  abort(): void;
   /** Responds with an error of this system. */
   refuse(error: SpoolplankError): void;
 }
--- a/packages/entry/src/dispatch/chainCatalog.ts
+++ b/packages/entry/src/dispatch/chainCatalog.ts
@@ -4,7 +4,7 @@
  * engine, and every request to it is sent to that engine.
  */
 import type { BackendFact } from '@spoolplank/membership';
-import { findStageChains, rateCapacities } from '@spoolplank/routing';
+import { findStageChains, computeCapacities } from '@spoolplank/routing';
 import type { CapacityEngine, ModelDescription, PathStage, StageEngine } from '@spoolplank/routing';
 import type { RoutingView } from '../gossip/routingView';
 
@@ -108,7 +108,7 @@
     model: ModelDescription,
   ): readonly RatedChain[] {
     const chains = findStageChains(toStageEngines(facts, model), { layers: model.layers });
-    const capacities = rateCapacities(chains, toCapacityEngines(facts), model);
+    const capacities = computeCapacities(chains, toCapacityEngines(facts), model);
     return chains.map(({ stages }, index) => ({
       headId: stages[0]?.id ?? '',
       stages,
--- a/packages/entry/src/dispatch/chainChoice.ts
+++ b/packages/entry/src/dispatch/chainChoice.ts
@@ -17,11 +17,11 @@
   /** Requests that this entry has in flight on the chain with the given first engine. */
   readonly ownInFlight: (headId: string) => number;
   /** Number of entries that share the chains, including this one. */
-  readonly entries: () => number;
+  readonly countEntries: () => number;
   /**
    * Estimate of the requests that other entries have started on that chain but not reported yet.
    */
-  readonly unseenInFlight: (headId: string) => number;
+  readonly unreportedInFlight: (headId: string) => number;
   /** Recent time to first event on the chain with the given first engine, in milliseconds. */
   readonly firstEventMs: (headId: string) => number;
   /** Whether an engine is excluded for now, by instance id. */
@@ -29,7 +29,7 @@
   /** Remaining backoff of an engine towards this VM, in milliseconds; 0 when there is none. */
   readonly backoffMsOf: (instanceId: string) => number;
   /** Whether this VM may send to a first engine without a permit from the allocator. */
-  readonly maySendAlone: (headId: string) => boolean;
+  readonly maySendWithoutPermit: (headId: string) => boolean;
 }
 
 export interface ChosenChain {
@@ -48,11 +48,11 @@
   /**
    * Whether the chain has capacity for a new stream, without the share reserved for resumed ones.
    */
-  readonly hasRoom: boolean;
+  readonly hasCapacity: boolean;
   /**
    * Whether the chain can take a resumed stream; resumed streams may also use the reserved share.
    */
-  readonly hasRoomForBegun: boolean;
+  readonly hasCapacityForResumed: boolean;
 }
 
 export interface ChainChoice {
@@ -64,7 +64,7 @@
     service: string,
     model: ModelDescription,
     excludedHeads: ReadonlySet<string>,
-    isWanted?: (dataCentre: string) => boolean,
+    acceptsDataCentre?: (dataCentre: string) => boolean,
   ): ChosenChain | undefined;
   /**
    * Time until the first chain of a service is out of backoff, in milliseconds; 0 when some chain
@@ -136,16 +136,16 @@
     const { headId, stages, capacity } = chain;
     const own = ownInFlight(headId);
     const reported = own + view.othersInFlight(headId);
-    const inFlight = reported + options.unseenInFlight(headId);
+    const inFlight = reported + options.unreportedInFlight(headId);
     const isLocal = dataCentre === options.dataCentre;
     const latencyCost = options.firstEventMs(headId) / SLOW_FIRST_EVENT_MS;
     const cost = inFlight / Math.max(1, capacity) + (isLocal ? 0 : REMOTE_PENALTY) + latencyCost;
     const newStreamCapacity = capacity * NEW_STREAM_SHARE;
     // An entry may always use its own quota of a chain, because the quotas of all entries add up to
     // no more than its capacity. Beyond the quota, it uses what the others appear to leave free.
-    const ownQuota = newStreamCapacity / Math.max(1, options.entries());
-    const hasRoom = own < ownQuota || inFlight < capacity * BORROWING_SHARE;
-    const hasRoomForBegun = hasRoom || inFlight < capacity;
+    const ownQuota = newStreamCapacity / Math.max(1, options.countEntries());
+    const hasCapacity = own < ownQuota || inFlight < capacity * BORROWING_SHARE;
+    const hasCapacityForResumed = hasCapacity || inFlight < capacity;
     const chosen = {
       dataCentre,
       headId,
@@ -154,8 +154,8 @@
       inFlight,
       grantedBy: null,
       hasPermit: false,
-      hasRoom,
-      hasRoomForBegun,
+      hasCapacity,
+      hasCapacityForResumed,
     };
     return { chain: chosen, cost, isLocal };
   }
@@ -186,7 +186,9 @@
     // The catalog ignores backoffs, because its chains are also allocated to other VMs, whereas a
     // backoff applies to this VM only.
     return listChains(service, model, excludedHeads)
-      .filter(({ chain }) => chainBackoffMs(chain) === 0 && options.maySendAlone(chain.headId))
+      .filter(
+        ({ chain }) => chainBackoffMs(chain) === 0 && options.maySendWithoutPermit(chain.headId),
+      )
       .map(({ chain, dataCentre }) => toCandidate(chain, dataCentre));
   }
 
@@ -206,9 +208,9 @@
       const remote = candidates.filter(({ isLocal }) => !isLocal);
       const sampled = findCheapest([...pickTwo(local, random), ...pickTwo(remote, random)]);
       // No stream is refused while any chain has capacity left.
-      if (sampled?.chain.hasRoom) return sampled.chain;
-      const withRoom = candidates.filter(({ chain }) => chain.hasRoom);
-      return (findCheapest(withRoom) ?? findCheapest(candidates))?.chain;
+      if (sampled?.chain.hasCapacity) return sampled.chain;
+      const withCapacity = candidates.filter(({ chain }) => chain.hasCapacity);
+      return (findCheapest(withCapacity) ?? findCheapest(candidates))?.chain;
     },
     repair,
   };
--- a/packages/entry/src/dispatch/guardedOperations.ts
+++ b/packages/entry/src/dispatch/guardedOperations.ts
@@ -11,7 +11,7 @@
 export interface GuardOptions {
   readonly clock: Pick<Clock, 'steadyMs'>;
   readonly notices: ServerNotices;
-  readonly limits: Pick<ServerLimits, 'recordAnswer' | 'perSOf' | 'takeOwnQuota'>;
+  readonly limits: Pick<ServerLimits, 'recordAnswer' | 'limitPerSOf' | 'takeOwnQuota'>;
 }
 
 export function guardOperations(
@@ -23,7 +23,8 @@
   /** Why a request must not be sent now; null when it may be. */
   function findClosedReason({ target, hasPermit }: BackendCall): ClosedReason | null {
     const closed = notices.closedReason(target.instanceId);
-    if (closed !== null || hasPermit || limits.perSOf(target.instanceId) === null) return closed;
+    if (closed !== null || hasPermit || limits.limitPerSOf(target.instanceId) === null)
+      return closed;
     return limits.takeOwnQuota(target.instanceId) ? null : 'limit';
   }
 
--- a/packages/entry/src/dispatch/plainDispatch.ts
+++ b/packages/entry/src/dispatch/plainDispatch.ts
@@ -143,13 +143,13 @@
   }
 
   async function attempt(
-    { request, organisation, endsAtMs, route }: AdmittedRequest,
+    { request, organisation, deadlineAtMs, route }: AdmittedRequest,
     { backend, permit }: ChosenServer,
     canRetry: boolean,
     abort: AbortController,
   ): Promise<AttemptResult> {
     const startedAtMs = clock.nowMs();
-    const remainingMs = endsAtMs - startedAtMs;
+    const remainingMs = deadlineAtMs - startedAtMs;
     const attemptTimeoutMs = canRetry
       ? Math.min(remainingMs, route.targetLatencyMs * ATTEMPT_TIMEOUT_FACTOR)
       : remainingMs;
@@ -176,7 +176,7 @@
       result = classifyError(toSpoolplankError(error), brokenAfterMs);
     } finally {
       clearTimeout(timer);
-      if (permit) permits.end(permit);
+      if (permit) permits.recordEnded(permit);
     }
     const nowMs = clock.nowMs();
     if (hasAnnouncedBackoff(result)) {
@@ -264,14 +264,14 @@
           await backoffWaits.wait(admitted, () => servers.backoffEndsInMs(service, excluded));
         }
         if (answer.isClosed) return end('caller-left', 0);
-        const remainingMs = admitted.endsAtMs - clock.nowMs();
+        const remainingMs = admitted.deadlineAtMs - clock.nowMs();
         const isFirst = runs + rejections + heldBack === 0;
         const canSend =
           remainingMs > TIMEOUT_MARGIN_MS &&
           mayRunAgain() &&
           rejections < MAX_REJECTIONS &&
           heldBack < MAX_HELD_BACK &&
-          (isAttemptGranted || (quarantine.maySendOn(content) && budget.spend()));
+          (isAttemptGranted || (quarantine.mayRetry(content) && budget.spend()));
         const ticket = `${request.id}/${runs + rejections + heldBack}`;
         const search = { admitted, ticket, excluded, mayWait: runs === 0 };
         const server = canSend ? await servers.find(search) : undefined;
@@ -305,7 +305,7 @@
           retryAfterMs: servers.retryAfterMs(service),
         });
       }
-      const isLate = clock.nowMs() >= admitted.endsAtMs - 2 * TIMEOUT_MARGIN_MS;
+      const isLate = clock.nowMs() >= admitted.deadlineAtMs - 2 * TIMEOUT_MARGIN_MS;
       throw new SpoolplankError(isLate ? 'deadline-exceeded' : 'backend-server-failed', {
         detail: last?.problem,
       });
--- a/packages/entry/src/dispatch/plainServers.ts
+++ b/packages/entry/src/dispatch/plainServers.ts
@@ -61,7 +61,7 @@
 
   /** Whether a server named a rate limit to this VM, or to another VM that reported it. */
   function isLimited({ instanceId }: BackendFact): boolean {
-    return limits.perSOf(instanceId) !== null || view.limitPerSOf(instanceId) !== null;
+    return limits.limitPerSOf(instanceId) !== null || view.limitPerSOf(instanceId) !== null;
   }
 
   function select(open: readonly BackendFact[]): BackendFact | undefined {
@@ -86,14 +86,16 @@
     search: PermitSearch,
     limited: readonly BackendFact[],
   ): Promise<ChosenServer | undefined> {
-    const outcome = await permits.wait(search, limited);
+    const outcome = await permits.acquire(search, limited);
     if (outcome.kind === 'permitted') return toServer(outcome.permit, limited);
     if (outcome.kind === 'refused') {
       const retryAfterMs = outcome.retryInMs ?? RETRY_AFTER_MS;
       const detail = 'All servers named rate limits, and the queue for their permits is full.';
       throw new SpoolplankError('overloaded', { detail, retryAfterMs });
     }
-    const unpermitted = select(limited.filter(({ instanceId }) => limits.maySendAlone(instanceId)));
+    const unpermitted = select(
+      limited.filter(({ instanceId }) => limits.maySendWithoutPermit(instanceId)),
+    );
     return unpermitted && { backend: unpermitted, permit: null };
   }
 
@@ -111,7 +113,7 @@
           (fact) => fact.dataCentre === chosen.dataCentre && isLimited(fact),
         );
         const server = toServer(
-          await permits.look(search, limitedInDataCentre),
+          await permits.tryAcquire(search, limitedInDataCentre),
           limitedInDataCentre,
         );
         if (server) return server;
--- a/packages/entry/src/dispatch/serverNotices.ts
+++ b/packages/entry/src/dispatch/serverNotices.ts
@@ -4,7 +4,7 @@
  * departure applies to all VMs; this VM observes it at once and also publishes it as a fact, which
  * is a record that all VMs replicate by gossip. See docs/design/server-backoff.md.
  */
-import { FACT_KEYS, isLeaving, stateLeaving } from '@spoolplank/membership';
+import { FACT_KEYS, isLeaving, publishLeaving } from '@spoolplank/membership';
 import type {
   FactTable,
   FactUpdate,
@@ -25,10 +25,10 @@
   readonly table: FactTable<SystemFact>;
   readonly findByAddress: RoutingView['findByAddress'];
   /**
-   * Sends the statements of this VM, which are the facts that it publishes, to its control VM at
-   * once instead of with the next exchange.
+   * Sends the facts that this VM publishes to its control VM at once instead of with the next
+   * exchange.
    */
-  readonly spread: () => void;
+  readonly exchangeNow: () => void;
   /** Called with each backoff that a server requests in a response to this process. */
   readonly onBackoff?: (directive: BackoffDirective) => void;
 }
@@ -42,7 +42,7 @@
 export interface ServerNotices {
   readonly backoffs: BackoffTable;
   /** Applies a notice that a server attached to a response. */
-  take(notice: ServerNotice): void;
+  applyNotice(notice: ServerNotice): void;
   /** Applies a backoff that a server requested in a response to the control process of this VM. */
   recordBackoff(directive: BackoffDirective): void;
   /**
@@ -59,7 +59,7 @@
   /** Counts a send that was held back. */
   recordHeldBack(reason: ClosedReason): void;
   /** The recent departures, as facts to publish with the next exchange. */
-  listStatements(): readonly FactUpdate<SystemFact>[];
+  listOutgoingFacts(): readonly FactUpdate<SystemFact>[];
   /** Removes backoffs and departures that have expired; called periodically. */
   sweep(): void;
   describe(): JsonValue;
@@ -101,16 +101,16 @@
   }
 
   function applyLeaving({ instanceId, address, status, requestId }: ServerNotice): void {
-    if (!stateLeaving(table, instanceId)) return;
+    if (!publishLeaving(table, instanceId)) return;
     leavingSinceMs.set(instanceId, clock.nowMs());
     metrics.count('spoolplank_servers_leaving_total');
     log.info('server-leaves', { instanceId, address, status, requestId });
-    options.spread();
+    options.exchangeNow();
   }
 
   return {
     backoffs,
-    take(notice) {
+    applyNotice(notice) {
       if (notice.backoffMs !== null) applyBackoff(notice, notice.backoffMs);
       if (notice.isLeaving) applyLeaving(notice);
     },
@@ -125,7 +125,7 @@
     recordHeldBack(reason) {
       metrics.count('spoolplank_sends_held_back_total', { reason });
     },
-    listStatements() {
+    listOutgoingFacts() {
       const nowMs = clock.nowMs();
       return [...leavingSinceMs]
         .filter(([, sinceMs]) => nowMs - sinceMs < STATEMENT_REPEAT_MS)
--- a/packages/entry/src/dispatch/streamAttempt.ts
+++ b/packages/entry/src/dispatch/streamAttempt.ts
@@ -1,6 +1,6 @@
 /** One attempt at a stream over one chain, from the first byte sent to the end of the response. */
 import { SpoolplankError, toSpoolplankError } from '@spoolplank/shared';
-import { isWholePath, sizeOfRequest } from '@spoolplank/routing';
+import { isCompletePath, sizeOfRequest } from '@spoolplank/routing';
 import type { ModelDescription, PathStage } from '@spoolplank/routing';
 import type { BackendResponse } from './backendOperations';
 import type { ChosenChain } from './chainChoice';
@@ -8,7 +8,7 @@
 import { createEventSplitter } from './eventSplitter';
 import type { SlotSearch } from '../slots/slotFinder';
 import { contentOf } from '../quarantine/requestContent';
-import type { StreamCut, StreamRow, StreamTable } from './streamTable';
+import type { AbortReason, StreamRow, StreamTable } from './streamTable';
 
 /** Result of one attempt. */
 export type StreamResult =
@@ -79,7 +79,7 @@
   readonly context: EntryContext;
   readonly streams: StreamTable;
   /** Probes an engine after a failed connection. */
-  readonly examine: (instanceId: string, address: string) => void;
+  readonly probeAfterFailure: (instanceId: string, address: string) => void;
 }
 
 export interface StreamAttempts {
@@ -98,7 +98,7 @@
 }
 
 export function createStreamAttempts(options: StreamAttemptOptions): StreamAttempts {
-  const { context, streams, examine } = options;
+  const { context, streams, probeAfterFailure } = options;
   const { clock, log, operations } = context;
 
   function createRow(
@@ -125,9 +125,9 @@
       isChecking: false,
       isRepairing: false,
       isPaused: false,
-      cutReason: null,
-      cut(reason: StreamCut) {
-        row.cutReason ??= reason;
+      abortReason: null,
+      abort(reason: AbortReason) {
+        row.abortReason ??= reason;
         abort.abort();
       },
     };
@@ -193,8 +193,8 @@
   }
 
   function describeRun(row: StreamRow): BrokenRun {
-    const { startedAtMs, hasAnswered, hasBegun, cutReason } = row;
-    const wasCutHere = cutReason !== null && cutReason !== 'head-lost';
+    const { startedAtMs, hasAnswered, hasBegun, abortReason } = row;
+    const wasCutHere = abortReason !== null && abortReason !== 'head-lost';
     return { ranMs: clock.nowMs() - startedAtMs, hasAnswered, hasBegun, wasCutHere };
   }
 
@@ -227,19 +227,19 @@
   }
 
   function classifyError(row: StreamRow, error: unknown): StreamResult {
-    if (row.cutReason === 'caller-left') return { kind: 'caller-left' };
+    if (row.abortReason === 'caller-left') return { kind: 'caller-left' };
     const [head] = row.stages;
     const known = toSpoolplankError(error);
-    const problem = row.cutReason ?? known.message;
+    const problem = row.abortReason ?? known.message;
     if (known.code === 'server-closed') return { kind: 'held-back', problem };
-    if (row.cutReason === null && head) {
+    if (row.abortReason === null && head) {
       // Either the engine is lost or just this response: a probe tells which.
-      examine(head.id, head.address);
+      probeAfterFailure(head.id, head.address);
     }
-    if (known.outcome === 'not-run' && row.cutReason === null) {
+    if (known.outcome === 'not-run' && row.abortReason === null) {
       return { kind: 'not-run', problem, culprit: head?.address ?? null, backoffMs: null };
     }
-    const isHeadHealthy = row.cutReason === 'no-repair';
+    const isHeadHealthy = row.abortReason === 'no-repair';
     return { kind: 'broken', problem, isHeadHealthy, run: describeRun(row) };
   }
 
@@ -251,7 +251,7 @@
     { stages, grantedBy }: ChosenChain,
     { layers }: ModelDescription,
   ): void {
-    if (isWholePath(stages, layers)) return;
+    if (isCompletePath(stages, layers)) return;
     const path = describePath(stages);
     log.warn('path-incomplete', { path, layers, grantedBy });
     const detail = `The path ${path.join(', ')} does not cover ${layers} layers in order.`;
@@ -263,14 +263,14 @@
     chain: ChosenChain,
     progress: StreamProgress,
   ): Promise<StreamResult> {
-    const { request, organisation, answer, endsAtMs } = search.admitted;
+    const { request, organisation, answer, deadlineAtMs } = search.admitted;
     const [head] = chain.stages;
     if (!head) throw new SpoolplankError('internal', { detail: 'The chain has no engines.' });
     const abort = new AbortController();
     const row = createRow(search, chain, abort);
-    const remainingMs = endsAtMs - clock.nowMs();
-    const timer = setTimeout(() => row.cut('deadline'), remainingMs - TIMEOUT_MARGIN_MS);
-    answer.onClosed(() => row.cut('caller-left'));
+    const remainingMs = deadlineAtMs - clock.nowMs();
+    const timer = setTimeout(() => row.abort('deadline'), remainingMs - TIMEOUT_MARGIN_MS);
+    answer.onClosed(() => row.abort('caller-left'));
     streams.add(row);
     const { grantedBy, dataCentre, inFlight, capacity } = chain;
     progress.slot = { grantedBy, dataCentre, inFlight, capacity };
--- a/packages/entry/src/dispatch/streamDispatch.ts
+++ b/packages/entry/src/dispatch/streamDispatch.ts
@@ -19,7 +19,7 @@
   readonly streams: StreamTable;
   readonly slots: SlotFinder;
   /** Probes an engine after a failed connection. */
-  readonly examine: (instanceId: string, address: string) => void;
+  readonly probeAfterFailure: (instanceId: string, address: string) => void;
   /** Excludes an engine for all requests of this VM for a short time. */
   readonly avoid: (instanceId: string) => void;
 }
@@ -82,9 +82,13 @@
 }
 
 export function createStreamDispatch(options: StreamDispatchOptions): StreamDispatch {
-  const { context, streams, slots, examine, avoid } = options;
+  const { context, streams, slots, probeAfterFailure, avoid } = options;
   const { clock, log, view, quarantine, crashes } = context;
-  const attempter = createStreamAttempts({ context, streams, examine });
+  const attempter = createStreamAttempts({
+    context,
+    streams,
+    probeAfterFailure,
+  });
   let nextResumeAtMs = 0;
 
   /**
@@ -178,8 +182,8 @@
         if (heldBack > MAX_HELD_BACK) return false;
         if (isAttemptGranted) return true;
         const isAllowed = !mayHaveRun || (route.isResumable && runs < route.maxAttempts);
-        if (!quarantine.maySendOn(content)) return false;
-        const hasTime = admitted.endsAtMs - clock.nowMs() > 2 * TIMEOUT_MARGIN_MS;
+        if (!quarantine.mayRetry(content)) return false;
+        const hasTime = admitted.deadlineAtMs - clock.nowMs() > 2 * TIMEOUT_MARGIN_MS;
         const isBelowLimits = rejections < MAX_REJECTIONS && attempts < MAX_ATTEMPTS;
         const reservedShare = progress.hasBegun ? 0 : RESUME_RESERVE_SHARE;
         return isAllowed && hasTime && isBelowLimits && budget.spend(reservedShare);
@@ -194,11 +198,11 @@
           // Identifies the slot of this attempt.
           ticket: `${request.id}/${attempts + heldBack}`,
           excludedHeads: excluded,
-          isUnwanted: () => quarantine.has(content),
+          isQuarantined: () => quarantine.has(content),
         };
         const chain = mayHaveRun
-          ? await slots.toResume(search, progress.lastEventAtMs ?? waitStartMs)
-          : await slots.toBegin(search);
+          ? await slots.findForResumed(search, progress.lastEventAtMs ?? waitStartMs)
+          : await slots.findForNew(search);
         progress.waitedMs += clock.nowMs() - waitStartMs;
         if (!chain && answer.isClosed) return end('caller-left', progress.status);
         // Other VMs may have reported crashes under this content while the request waited.
@@ -244,7 +248,7 @@
       }
 
       if (progress.hasBegun) {
-        answer.cut();
+        answer.abort();
         return end('broken-off', progress.status);
       }
       if (!mayHaveRun) {
--- a/packages/entry/src/dispatch/streamPath.ts
+++ b/packages/entry/src/dispatch/streamPath.ts
@@ -32,7 +32,7 @@
   /** The data centre of a server; undefined when unknown. */
   readonly dataCentreOf: (instanceId: string) => string | undefined;
   /** Whether this VM has exchanged facts (gossiped records) for long enough to know all members. */
-  readonly isSettled: () => boolean;
+  readonly isMembershipComplete: () => boolean;
 }
 
 export interface StreamPath {
@@ -53,12 +53,13 @@
     random,
     dataCentre,
     ownInFlight: (headId) => streams.countOn(headId),
-    entries: countEntries,
-    unseenInFlight: (headId) => streams.estimateUnseen(headId, Math.max(0, countEntries() - 1)),
+    countEntries,
+    unreportedInFlight: (headId) =>
+      streams.estimateUnreported(headId, Math.max(0, countEntries() - 1)),
     firstEventMs: (headId) => streams.firstEventMs(headId),
     isAvoided: health.isAvoided,
     backoffMsOf: notices.backoffs.remainingMs,
-    maySendAlone: limits.maySendAlone,
+    maySendWithoutPermit: limits.maySendWithoutPermit,
   });
   const slots = createSlotService({
     clock,
@@ -78,7 +79,7 @@
     limits,
     countEntries,
     dataCentreOf: options.dataCentreOf,
-    isSettled: options.isSettled,
+    isMembershipComplete: options.isMembershipComplete,
   });
   const probes = createEngineProbes({
     clock,
@@ -103,7 +104,7 @@
     context,
     streams,
     slots: slots.finder,
-    examine: (instanceId, address) => repair.examine(instanceId, address),
+    probeAfterFailure: (instanceId, address) => repair.probeAfterFailure(instanceId, address),
     avoid,
   });
 
--- a/packages/entry/src/dispatch/streamTable.ts
+++ b/packages/entry/src/dispatch/streamTable.ts
@@ -2,13 +2,13 @@
  * Tracks the streams that run through this entry. Each row is one attempt over one chain: a
  * sequence of engines that together hold all layers of the model.
  */
-import { createUnseenLoad } from '@spoolplank/routing';
+import { createUnreportedLoad } from '@spoolplank/routing';
 import type { HeldSlot, ModelDescription, PathStage } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
 import type { AdmittedRequest } from '../entryContext';
 
 /** Why this entry aborted an attempt. */
-export type StreamCut = 'caller-left' | 'head-lost' | 'no-repair' | 'deadline' | 'quarantined';
+export type AbortReason = 'caller-left' | 'head-lost' | 'no-repair' | 'deadline' | 'quarantined';
 
 /** An attempt in progress to run a stream over a chain. */
 export interface StreamRow {
@@ -43,9 +43,9 @@
   /** Whether the caller reads too slowly; silence is then no sign of a fault. */
   isPaused: boolean;
   /** Why this entry aborted the attempt; null while it has not. */
-  cutReason: StreamCut | null;
+  abortReason: AbortReason | null;
   /** Aborts the attempt. */
-  readonly cut: (reason: StreamCut) => void;
+  readonly abort: (reason: AbortReason) => void;
 }
 
 export interface StreamTable {
@@ -57,7 +57,7 @@
   /** Sum of the sizes of the streams in flight on the chain with the given first engine. */
   countOn(headId: string): number;
   /** Estimate of the load that `peers` other entries started on a chain but not reported yet. */
-  estimateUnseen(headId: string, peers: number): number;
+  estimateUnreported(headId: string, peers: number): number;
   /** Records the time to first event of a stream on a chain. */
   recordFirstEvent(headId: string, durationMs: number): void;
   /**
@@ -75,7 +75,7 @@
  * Time after which all entries know a load. Its report passes through at most two control VMs, each
  * of which delays it by up to 0.8 s.
  */
-const UNSEEN_WINDOW_MS = 1600;
+const UNREPORTED_WINDOW_MS = 1600;
 /** Weight of a new sample in the moving averages. */
 const SAMPLE_WEIGHT = 0.2;
 /** Assumed time to first event before the first measurement. */
@@ -108,10 +108,10 @@
   const countByHead = new Map<string, number>();
   const firstEvents = new Map<string, FirstEvents>();
   let usualFirstEventMs = INITIAL_FIRST_EVENT_MS;
-  const unseen = createUnseenLoad({ clock, windowMs: UNSEEN_WINDOW_MS });
+  const unreported = createUnreportedLoad({ clock, windowMs: UNREPORTED_WINDOW_MS });
 
   function adjustInFlight(headId: string, by: number): void {
-    unseen.record(headId, by);
+    unreported.record(headId, by);
     const count = (countByHead.get(headId) ?? 0) + by;
     if (count > MIN_SIZE) countByHead.set(headId, count);
     else countByHead.delete(headId);
@@ -133,7 +133,8 @@
         .filter((row) => row.dataCentre === dataCentre)
         .map(({ ticket, headId, size }) => ({ ticket, headId, size: roundSize(size) })),
     countOn: (headId) => countByHead.get(headId) ?? 0,
-    estimateUnseen: (headId, peers) => unseen.estimate(headId, countByHead.get(headId) ?? 0, peers),
+    estimateUnreported: (headId, peers) =>
+      unreported.estimate(headId, countByHead.get(headId) ?? 0, peers),
     recordFirstEvent(headId, durationMs) {
       const atMs = clock.nowMs();
       const known = firstEvents.get(headId) ?? { meanMs: durationMs, atMs };
--- a/packages/entry/src/entryContext.ts
+++ b/packages/entry/src/entryContext.ts
@@ -43,7 +43,7 @@
   /** Time from the caller's first attempt to the arrival of this request. */
   readonly callerAgeMs: number;
   /** Deadline set by the caller or the operator, on this VM's clock. */
-  readonly endsAtMs: number;
+  readonly deadlineAtMs: number;
 }
 
 /** On which chain a stream was given a slot, and by whom; for the log. */
--- a/packages/entry/src/entryNode.ts
+++ b/packages/entry/src/entryNode.ts
@@ -16,7 +16,7 @@
 import { createEngineHealth } from './repair/engineHealth';
 import type { AdmittedRequest, EntryContext, RequestEnd } from './entryContext';
 import { createEntryFacts } from './gossip/entryFacts';
-import { createEntryStatements } from './gossip/entryStatements';
+import { createSelfFacts } from './gossip/selfFacts';
 import { createServerLimits } from './limits/serverLimits';
 import { createPlainDispatch } from './dispatch/plainDispatch';
 import { createReadiness } from './readiness';
@@ -73,9 +73,9 @@
   /**
    * Withdraws this entry from the address lists of callers; requests that still arrive are served.
    */
-  beginLeaving(): void;
+  beginDraining(): void;
   /** Refuses new requests as not run from now on. */
-  refuseNew(): void;
+  refuseNewRequests(): void;
   /** Number of requests that are being served. */
   readonly inFlight: number;
   stop(): void;
@@ -91,15 +91,22 @@
   const { clock, random, log, metrics, peers, run, host, dataCentre } = options;
   const openRequests = new Set<CallerRequest>();
   let onStreamEnd = (_row: StreamRow): void => {};
-  let statedLoad = (): LoadFact['inFlight'] => ({});
+  let publishedLoad = (): LoadFact['inFlight'] => ({});
   let ticks = 0;
   let firstSyncedAtMs = Number.POSITIVE_INFINITY;
   let isStopped = false;
 
   const streams = createStreamTable({ clock, onEnd: (row) => onStreamEnd(row) });
-  const facts = createEntryFacts({ ...options, statedLoad: () => statedLoad() });
-  const { table, documents, view, spread } = facts;
-  const health = createEngineHealth({ clock, log, metrics, table, dataCentre, spread });
+  const facts = createEntryFacts({ ...options, publishedLoad: () => publishedLoad() });
+  const { table, documents, view, exchangeNow } = facts;
+  const health = createEngineHealth({
+    clock,
+    log,
+    metrics,
+    table,
+    dataCentre,
+    exchangeNow,
+  });
   const siblingBackoffs = createSiblingBackoffs({
     table,
     host,
@@ -114,10 +121,10 @@
     metrics,
     table,
     findByAddress: view.findByAddress,
-    spread,
+    exchangeNow,
     onBackoff: siblingBackoffs.send,
   });
-  options.operations.onNotice(notices.take);
+  options.operations.onNotice(notices.applyNotice);
   siblingBackoffs.onDirective(notices.recordBackoff);
 
   const readiness = createReadiness({
@@ -126,7 +133,7 @@
     canAccept: options.canAccept,
   });
 
-  const statements = createEntryStatements({
+  const selfFacts = createSelfFacts({
     table,
     run,
     vmId: options.vmId,
@@ -136,11 +143,11 @@
     peerPort: options.peerPort,
     state: readiness.memberState,
     inFlight: () => streams.counts(),
-    listSuspicions: () => health.listStatements(),
+    listSuspicions: () => health.listOutgoingFacts(),
   });
-  statedLoad = () => statements.statedLoad;
+  publishedLoad = () => selfFacts.publishedLoad;
 
-  let isThere = (_address: string): Promise<boolean> => Promise.resolve(true);
+  let isReachable = (_address: string): Promise<boolean> => Promise.resolve(true);
   const guard = createCrashGuard({
     clock,
     random,
@@ -151,8 +158,8 @@
     view,
     streams,
     health,
-    isThere: (address) => isThere(address),
-    spread,
+    isReachable: (address) => isReachable(address),
+    exchangeNow,
   });
   const { quarantine, crashes } = guard;
 
@@ -190,22 +197,22 @@
     host,
     countEntries,
     dataCentreOf: (instanceId) => findBackend(table, instanceId)?.body.dataCentre,
-    isSettled: syncHistory.isSettled,
+    isMembershipComplete: syncHistory.isMembershipComplete,
   });
   const { slots, repair } = stream;
   const plain = createPlainDispatch(context, slots.permits);
-  ({ isThere } = repair);
+  ({ isReachable } = repair);
   onStreamEnd = (row) => slots.recordReleased(row.dataCentre, row.ticket);
   facts.onUrgentFact((body) => {
     if (isGuardFact(body)) guard.onFact(body);
     else repair.repairLost(health.isLost);
   });
   [
-    statements.list,
-    slots.listStatements,
-    quarantine.listStatements,
-    notices.listStatements,
-  ].forEach(facts.addStatements);
+    selfFacts.list,
+    slots.listOutgoingFacts,
+    quarantine.listOutgoingFacts,
+    notices.listOutgoingFacts,
+  ].forEach(facts.addSource);
 
   const admission = createRequestAdmission({ clock, random, view, ...readiness });
 
@@ -279,12 +286,12 @@
     },
     isReady: readiness.isReady,
     releaseContent: (digest) => quarantine.release(digest),
-    beginLeaving() {
-      readiness.beginLeaving();
+    beginDraining() {
+      readiness.beginDraining();
       log.info('leaving');
-      spread();
+      exchangeNow();
     },
-    refuseNew: () => admission.refuseNew(),
+    refuseNewRequests: () => admission.refuseNewRequests(),
     get inFlight() {
       return openRequests.size;
     },
--- a/packages/entry/src/gossip/entryFacts.ts
+++ b/packages/entry/src/gossip/entryFacts.ts
@@ -1,13 +1,13 @@
 /**
  * The facts that an entry knows, and the exchange with a control VM that publishes its own. A fact
- * is a record that all VMs replicate by gossip; a statement is a fact that this VM publishes.
+ * is a record that all VMs replicate by gossip.
  */
 import type { StoredDocument } from '@spoolplank/control';
 import {
   createDocumentCache,
   createFactTable,
   isRestart,
-  retentionOf,
+  retentionMsOf,
 } from '@spoolplank/membership';
 import type {
   DocumentCache,
@@ -38,12 +38,12 @@
   readonly readDocument: (document: StoredDocument) => RoutingDocument;
   readonly announcementMs: number;
   /** The last stated load of this VM. */
-  readonly statedLoad: () => LoadFact['inFlight'];
+  readonly publishedLoad: () => LoadFact['inFlight'];
   readonly onDocument: (document: RoutingDocument) => void;
 }
 
 /** Lists the facts of one component to publish with each exchange. */
-export type StatementSource = () => readonly FactUpdate<SystemFact>[];
+export type OutgoingFactSource = () => readonly FactUpdate<SystemFact>[];
 
 export interface EntryFacts {
   readonly table: FactTable<SystemFact>;
@@ -51,11 +51,11 @@
   readonly view: RoutingView;
   /** Time of the last reply of a control VM, on this VM's clock; not finite before the first. */
   readonly syncedAtMs: number;
-  addStatements(source: StatementSource): void;
+  addSource(source: OutgoingFactSource): void;
   /** Adds a listener for facts that require action as soon as they are received. */
   onUrgentFact(listener: (body: SystemFact) => void): void;
-  /** Sends the statements of this VM at once, without waiting for the next exchange. */
-  spread(): void;
+  /** Sends the facts that this VM publishes at once, without waiting for the next exchange. */
+  exchangeNow(): void;
   start(): void;
   /** Removes facts that are no longer stated by any VM. */
   sweep(): void;
@@ -71,9 +71,9 @@
 ]);
 
 export function createEntryFacts(options: EntryFactsOptions): EntryFacts {
-  const { clock, log, run, readDocument, announcementMs, statedLoad } = options;
+  const { clock, log, run, readDocument, announcementMs, publishedLoad } = options;
   const documents = createDocumentCache<StoredDocument>(clock);
-  const sources: StatementSource[] = [];
+  const sources: OutgoingFactSource[] = [];
   const listeners: ((body: SystemFact) => void)[] = [];
   const table = createFactTable<SystemFact>({
     clock,
@@ -89,13 +89,13 @@
     readDocument,
     syncedAtMs: () => syncedAtMs(),
     announcementMs,
-    ownStatedLoad: statedLoad,
+    ownPublishedLoad: publishedLoad,
   });
   const feed = createEntryFeed({
     ...options,
     table,
     documents,
-    statements: () => sources.flatMap((list) => list()),
+    outgoingFacts: () => sources.flatMap((list) => list()),
     listControlMembers: () => view.listMembers('control'),
     onDocument({ version }) {
       const routes = view.routes();
@@ -112,15 +112,15 @@
     get syncedAtMs() {
       return feed.syncedAtMs;
     },
-    addStatements: (source) => sources.push(source),
+    addSource: (source) => sources.push(source),
     onUrgentFact: (listener) => listeners.push(listener),
-    spread() {
+    exchangeNow() {
       void feed.push();
     },
     start() {
       void feed.run();
     },
-    sweep: () => table.sweep(retentionOf),
+    sweep: () => table.sweep(retentionMsOf),
     stop: () => feed.stop(),
   };
 }
--- a/packages/entry/src/gossip/entryFeed.ts
+++ b/packages/entry/src/gossip/entryFeed.ts
@@ -28,7 +28,7 @@
   readonly table: FactTable<SystemFact>;
   readonly documents: DocumentCache<StoredDocument>;
   /** The facts that this VM publishes with each exchange. */
-  readonly statements: () => readonly FactUpdate<SystemFact>[];
+  readonly outgoingFacts: () => readonly FactUpdate<SystemFact>[];
   readonly listControlMembers: () => readonly MemberFact[];
   /** Hosts of control VMs named in the settings. */
   readonly seeds: () => readonly string[];
@@ -69,7 +69,7 @@
     clock,
     table,
     documents,
-    statements: options.statements,
+    outgoingFacts: options.outgoingFacts,
     async exchange(request) {
       const source = sources.current();
       const target = { vmId: source, host: source, port: options.controlPeerPort };
--- a/packages/entry/src/gossip/ownStatements.ts
+++ b/packages/entry/src/gossip/factPublisher.ts
@@ -5,16 +5,16 @@
 import type { Fact, FactTable, FactUpdate, SystemFact } from '@spoolplank/membership';
 import type { Clock } from '@spoolplank/shared';
 
-export interface OwnStatementsOptions {
+export interface FactPublisherOptions {
   readonly clock: Clock;
   readonly table: FactTable<SystemFact>;
   /** Sends the facts that this VM publishes at once, instead of with the next exchange. */
-  readonly spread: () => void;
+  readonly exchangeNow: () => void;
 }
 
-export interface OwnStatements {
+export interface FactPublisher {
   /** Publishes a fact under the current time, at once. */
-  state(key: string, body: SystemFact): void;
+  publish(key: string, body: SystemFact): void;
   /** The facts to send with the next exchange: the repeated ones, and those with the given keys. */
   list(alsoKeys?: readonly string[]): readonly FactUpdate<SystemFact>[];
   /** Forgets facts that are no longer repeated. */
@@ -25,10 +25,14 @@
  * Time for which a fact is repeated, in case the first message was lost because this VM was just
  * switching its control VM, or because the control VM restarted.
  */
-const STATEMENT_REPEAT_MS = 5000;
+const PUBLISH_REPEAT_MS = 5000;
 
-export function createOwnStatements({ clock, table, spread }: OwnStatementsOptions): OwnStatements {
-  const statedAtMs = new Map<string, number>();
+export function createFactPublisher({
+  clock,
+  table,
+  exchangeNow,
+}: FactPublisherOptions): FactPublisher {
+  const publishedAtMs = new Map<string, number>();
 
   function toUpdate({
     key,
@@ -40,15 +44,15 @@
   }
 
   return {
-    state(key, body) {
+    publish(key, body) {
       table.put(key, Math.floor(clock.wallMs()), body);
-      statedAtMs.set(key, clock.nowMs());
-      spread();
+      publishedAtMs.set(key, clock.nowMs());
+      exchangeNow();
     },
     list(alsoKeys = []) {
       const nowMs = clock.nowMs();
-      const repeated = [...statedAtMs]
-        .filter(([, atMs]) => nowMs - atMs < STATEMENT_REPEAT_MS)
+      const repeated = [...publishedAtMs]
+        .filter(([, atMs]) => nowMs - atMs < PUBLISH_REPEAT_MS)
         .map(([key]) => key);
       return [...new Set([...repeated, ...alsoKeys])].flatMap((key) => {
         const fact = table.find(key);
@@ -56,8 +60,8 @@
       });
     },
     sweep() {
-      statedAtMs.forEach((atMs, key) => {
-        if (clock.nowMs() - atMs > STATEMENT_REPEAT_MS) statedAtMs.delete(key);
+      publishedAtMs.forEach((atMs, key) => {
+        if (clock.nowMs() - atMs > PUBLISH_REPEAT_MS) publishedAtMs.delete(key);
       });
     },
   };
--- a/packages/entry/src/gossip/routingView.ts
+++ b/packages/entry/src/gossip/routingView.ts
@@ -2,7 +2,7 @@
  * Indexes the configuration document and the facts for the routing of requests. Facts are records
  * that all VMs replicate by gossip, such as the announcements of backend servers.
  */
-import { FACT_KEYS, isLeaving, lostAfterMs, readSlowdown } from '@spoolplank/membership';
+import { FACT_KEYS, isLeaving, announcementTimeoutMs, readSlowdown } from '@spoolplank/membership';
 import type {
   BackendFact,
   DocumentCache,
@@ -13,7 +13,7 @@
   CapacityFact,
   SystemFact,
 } from '@spoolplank/membership';
-import { createRouteTable, findMisfit } from '@spoolplank/routing';
+import { createRouteTable, findDocumentConflict } from '@spoolplank/routing';
 import type { RouteTable, RoutingDocument } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
 
@@ -32,7 +32,7 @@
    * The load that this entry published last. The sums over all entries include it; it is
    * subtracted.
    */
-  readonly ownStatedLoad: () => LoadFact['inFlight'];
+  readonly ownPublishedLoad: () => LoadFact['inFlight'];
 }
 
 export interface RoutingView {
@@ -98,10 +98,10 @@
   function addBackend(fact: Fact<SystemFact>, body: BackendFact, nowMs: number): void {
     // A departure notice in a response overrides announcements that were made before it.
     if (body.state !== 'ready' || isLeaving(table, body.instanceId)) return;
-    const isLost = nowMs - fact.receivedAtMs > lostAfterMs(announcementMs);
+    const isLost = nowMs - fact.receivedAtMs > announcementTimeoutMs(announcementMs);
     if (isLost || isSuspected(body.instanceId, fact.sequence)) return;
     const document = currentRoutes()?.document;
-    if (document && findMisfit(body, document) !== null) return;
+    if (document && findDocumentConflict(body, document) !== null) return;
     const known = backends.get(body.service);
     if (known) known.push(body);
     else backends.set(body.service, [body]);
@@ -174,7 +174,7 @@
     },
     othersInFlight(headId) {
       refresh();
-      const own = options.ownStatedLoad()[headId] ?? 0;
+      const own = options.ownPublishedLoad()[headId] ?? 0;
       return Math.max(0, (inFlight.get(headId) ?? 0) - own);
     },
     listCapacities() {
--- a/packages/entry/src/gossip/entryStatements.ts
+++ b/packages/entry/src/gossip/selfFacts.ts
@@ -11,7 +11,7 @@
   SystemFact,
 } from '@spoolplank/membership';
 
-export interface EntryStatementsOptions {
+export interface SelfFactsOptions {
   readonly table: FactTable<SystemFact>;
   /** Identifies this incarnation of the process. */
   readonly run: string;
@@ -26,31 +26,31 @@
   readonly listSuspicions: () => readonly FactUpdate<SystemFact>[];
 }
 
-export interface EntryStatements {
+export interface SelfFacts {
   /** The facts to publish with the next exchange, under a new sequence number. */
   list(): readonly FactUpdate<SystemFact>[];
   /** The load that was published last. */
-  readonly statedLoad: LoadFact['inFlight'];
+  readonly publishedLoad: LoadFact['inFlight'];
 }
 
-export function createEntryStatements(options: EntryStatementsOptions): EntryStatements {
+export function createSelfFacts(options: SelfFactsOptions): SelfFacts {
   const { table, run, vmId, host, dataCentre, callerAddress, peerPort } = options;
   const memberKey = FACT_KEYS.member(host, run);
   const loadKey = FACT_KEYS.load(host, run);
   let sequence = 0;
-  let statedLoad: LoadFact['inFlight'] = {};
+  let publishedLoad: LoadFact['inFlight'] = {};
 
   function toUpdate(key: string, body: SystemFact): FactUpdate<SystemFact> {
     return { key, sequence, ageMs: 0, body };
   }
 
   return {
-    get statedLoad() {
-      return statedLoad;
+    get publishedLoad() {
+      return publishedLoad;
     },
     list() {
       sequence += 1;
-      statedLoad = options.inFlight();
+      publishedLoad = options.inFlight();
       const state = options.state();
       const member: MemberFact = {
         kind: 'member',
@@ -65,7 +65,7 @@
       table.put(memberKey, sequence, member);
       return [
         toUpdate(memberKey, member),
-        toUpdate(loadKey, { kind: 'load', inFlight: statedLoad }),
+        toUpdate(loadKey, { kind: 'load', inFlight: publishedLoad }),
         ...options.listSuspicions(),
       ];
     },
--- a/packages/entry/src/gossip/syncHistory.ts
+++ b/packages/entry/src/gossip/syncHistory.ts
@@ -18,7 +18,7 @@
    * Whether the list of members is complete: facts have been exchanged without interruption for as
    * long as a new member takes to become known.
    */
-  isSettled(): boolean;
+  isMembershipComplete(): boolean;
 }
 
 export function createSyncHistory({ clock, syncedAtMs }: SyncHistoryOptions): SyncHistory {
@@ -35,6 +35,6 @@
       inSyncSinceMs = isInSync() ? Math.min(inSyncSinceMs, nowMs) : Number.POSITIVE_INFINITY;
       lastTickAtMs = nowMs;
     },
-    isSettled: () => isInSync() && clock.nowMs() - inSyncSinceMs >= MEMBERS_KNOWN_MS,
+    isMembershipComplete: () => isInSync() && clock.nowMs() - inSyncSinceMs >= MEMBERS_KNOWN_MS,
   };
 }
--- a/packages/entry/src/limits/limitAccount.ts
+++ b/packages/entry/src/limits/limitAccount.ts
@@ -4,11 +4,11 @@
  * are reported by the VMs that received the answers, with their calls to the allocator.
  */
 import type { EventLog, Metrics } from '@spoolplank/node';
-import { createPermitAccount, lentShare } from '@spoolplank/routing';
-import type { LimitDirective, NamedLimit, PermitAccount } from '@spoolplank/routing';
+import { createPermitAccount, grantedShare } from '@spoolplank/routing';
+import type { LimitDirective, AdvertisedLimit, PermitAccount } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
 
-/** A server's statement about its limit in the answer to one request. */
+/** What a server reports about its limit in the answer to one request. */
 export interface LimitReport {
   readonly instanceId: string;
   readonly directive: LimitDirective;
@@ -30,7 +30,11 @@
 
 export interface LimitAccount extends PermitAccount {
   /** Records the limit reports of a VM, and the limits that it currently applies. */
-  learn(vm: string, reports: readonly LimitReport[], limits: readonly NamedLimit[]): void;
+  recordReports(
+    vm: string,
+    reports: readonly LimitReport[],
+    limits: readonly AdvertisedLimit[],
+  ): void;
 }
 
 /**
@@ -54,7 +58,7 @@
   const account = createPermitAccount({
     clock,
     shareOf: (instanceId) =>
-      lentShare({ isOwner: isOwner(instanceId), askers: countActiveVms(), vms: countEntries() }),
+      grantedShare({ isOwner: isOwner(instanceId), askers: countActiveVms(), vms: countEntries() }),
   });
 
   metrics.gauge('spoolplank_limited_servers', () => account.list().length);
@@ -63,37 +67,37 @@
   );
 
   function recordNamed(vm: string, instanceId: string, perS: number, agoMs: number): void {
-    const before = account.perSOf(instanceId);
-    const change = account.name(instanceId, perS, agoMs);
+    const before = account.limitPerSOf(instanceId);
+    const change = account.recordLimit(instanceId, perS, agoMs);
     if (change === 'repeated' || change === 'outdated') return;
     metrics.count('spoolplank_limit_changes_total', { change });
     const ratePerS = account.ratePerS(instanceId);
     log.info('limit-kept', { instanceId, change, perS, before, ratePerS, reportedBy: vm });
   }
 
-  function recordUnnamed(vm: string, { instanceId, sentAgoMs }: LimitReport): void {
-    const before = account.perSOf(instanceId);
-    if (!account.recordUnnamed(instanceId, sentAgoMs)) return;
+  function recordUnlimited(vm: string, { instanceId, sentAgoMs }: LimitReport): void {
+    const before = account.limitPerSOf(instanceId);
+    if (!account.recordUnlimited(instanceId, sentAgoMs)) return;
     metrics.count('spoolplank_limit_changes_total', { change: 'ended' });
     log.info('limit-kept', { instanceId, change: 'ended', perS: null, before, reportedBy: vm });
   }
 
   return {
     ...account,
-    learn(vm, reports, limits) {
+    recordReports(vm, reports, limits) {
       lastCallAtMs.set(vm, clock.steadyMs());
       reports.forEach((report) => {
         const { instanceId, directive, receivedAgoMs } = report;
-        if (directive.kind === 'unnamed') recordUnnamed(vm, report);
+        if (directive.kind === 'unnamed') recordUnlimited(vm, report);
         else recordNamed(vm, instanceId, directive.perS, receivedAgoMs);
       });
       limits.forEach(({ instanceId, perS, namedAgoMs }) =>
         recordNamed(vm, instanceId, perS, namedAgoMs),
       );
     },
-    take(instanceId) {
-      const isTaken = account.take(instanceId);
-      if (isTaken && account.perSOf(instanceId) !== null) {
+    tryAcquire(instanceId) {
+      const isTaken = account.tryAcquire(instanceId);
+      if (isTaken && account.limitPerSOf(instanceId) !== null) {
         metrics.count('spoolplank_permits_total', { use: 'given' });
       }
       return isTaken;
--- a/packages/entry/src/limits/permitFinder.ts
+++ b/packages/entry/src/limits/permitFinder.ts
@@ -40,16 +40,16 @@
 
 export interface PermitFinder {
   /** Tries once to get a permit for one of several servers of one data centre. */
-  look(search: PermitSearch, servers: LimitedServers): Promise<Permit | undefined>;
+  tryAcquire(search: PermitSearch, servers: LimitedServers): Promise<Permit | undefined>;
   /** Waits for a permit for one of several servers, within the time limits of the request. */
-  wait(search: PermitSearch, servers: LimitedServers): Promise<PermitOutcome>;
+  acquire(search: PermitSearch, servers: LimitedServers): Promise<PermitOutcome>;
   /** Records that the request sent under a permit has ended. */
-  end(permit: Permit): void;
+  recordEnded(permit: Permit): void;
 }
 
 export interface PermitFinderOptions {
   readonly clock: Clock;
-  readonly slots: Pick<SlotClient, 'find' | 'look' | 'recordReleased'>;
+  readonly slots: Pick<SlotClient, 'find' | 'tryFind' | 'recordReleased'>;
 }
 
 /** Equal to the time for which a stream waits for a slot. */
@@ -65,12 +65,12 @@
 export function createPermitFinder({ clock, slots }: PermitFinderOptions): PermitFinder {
   function toRequest(search: PermitSearch, servers: LimitedServers): SlotRequest {
     const { admitted, ticket, excluded } = search;
-    const { answer, request, route, organisation, callerAgeMs, service, endsAtMs } = admitted;
+    const { answer, request, route, organisation, callerAgeMs, service, deadlineAtMs } = admitted;
     const { arrivedAtMs } = request;
     const nowMs = clock.nowMs();
-    const latestWaitMs = nowMs + (endsAtMs - nowMs) * MAX_WAIT_SHARE;
+    const latestWaitMs = nowMs + (deadlineAtMs - nowMs) * MAX_WAIT_SHARE;
     const dataCentres = [...new Set(servers.map(({ dataCentre }) => dataCentre))];
-    const leavesAtMs = Math.min(arrivedAtMs + MAX_WAIT_MS, latestWaitMs);
+    const queueDeadlineAtMs = Math.min(arrivedAtMs + MAX_WAIT_MS, latestWaitMs);
     return {
       ticket,
       service,
@@ -79,12 +79,12 @@
       hasBegun: false,
       isRetry: callerAgeMs > route.targetLatencyMs,
       arrivedAtMs,
-      inTimeUntilMs: arrivedAtMs - callerAgeMs + route.targetLatencyMs,
-      leavesAtMs,
+      latestStartAtMs: arrivedAtMs - callerAgeMs + route.targetLatencyMs,
+      queueDeadlineAtMs,
       heads: servers.map(({ instanceId }) => instanceId),
       excludedHeads: excluded,
-      rankDataCentres: () => dataCentres.map((dataCentre) => ({ dataCentre, hasRoom: true })),
-      isAbandoned: () => answer.isClosed || clock.nowMs() >= leavesAtMs,
+      rankDataCentres: () => dataCentres.map((dataCentre) => ({ dataCentre, hasCapacity: true })),
+      isAbandoned: () => answer.isClosed || clock.nowMs() >= queueDeadlineAtMs,
     };
   }
 
@@ -98,16 +98,16 @@
   }
 
   return {
-    async look(search, servers) {
+    async tryAcquire(search, servers) {
       const { ticket } = search;
       const dataCentre = servers[0]?.dataCentre ?? '';
-      const chain = await slots.look(toRequest(search, servers), dataCentre);
+      const chain = await slots.tryFind(toRequest(search, servers), dataCentre);
       return chain && { instanceId: chain.headId, dataCentre, ticket };
     },
-    async wait(search, servers) {
+    async acquire(search, servers) {
       return toOutcome(await slots.find(toRequest(search, servers)), search.ticket);
     },
-    end({ dataCentre, ticket }) {
+    recordEnded({ dataCentre, ticket }) {
       slots.recordReleased(dataCentre, ticket);
     },
   };
--- a/packages/entry/src/limits/serverLimits.ts
+++ b/packages/entry/src/limits/serverLimits.ts
@@ -4,8 +4,8 @@
  * docs/design/named-limits.md.
  */
 import type { EventLog, Metrics } from '@spoolplank/node';
-import { createNamedLimits } from '@spoolplank/routing';
-import type { LimitDirective, NamedLimit } from '@spoolplank/routing';
+import { createAdvertisedLimits } from '@spoolplank/routing';
+import type { LimitDirective, AdvertisedLimit } from '@spoolplank/routing';
 import type { Clock, JsonValue, Random } from '@spoolplank/shared';
 import type { BackendTarget } from '../dispatch/backendOperations';
 import type { LimitReport } from './limitAccount';
@@ -23,9 +23,9 @@
   /** Records the directive in the answer to a request sent at `sentAtMs` on the steady clock. */
   recordAnswer(target: BackendTarget, directive: LimitDirective, sentAtMs: number): void;
   /** The rate limit of a server as known to this VM; null if it has none. */
-  perSOf(instanceId: string): number | null;
+  limitPerSOf(instanceId: string): number | null;
   /** Whether this VM may send without a permit: no limit applies, or it has some own quota left. */
-  maySendAlone(instanceId: string): boolean;
+  maySendWithoutPermit(instanceId: string): boolean;
   /** Counts one request against this VM's own quota; false if the quota is used up. */
   takeOwnQuota(instanceId: string): boolean;
   /**
@@ -34,7 +34,7 @@
    */
   recordUnlimited(instanceId: string, askedAtMs: number): void;
   /** The limits known to this VM, for the account. */
-  list(): readonly NamedLimit[];
+  list(): readonly AdvertisedLimit[];
   /** Sets the listener for reports that must be sent to the account of a server. */
   onReport(listener: (report: PendingReport) => void): void;
   /** Removes limits that have expired; called periodically. */
@@ -62,11 +62,11 @@
 
 export function createServerLimits(options: ServerLimitsOptions): ServerLimits {
   const { clock, random, log, metrics, countEntries } = options;
-  const named = createNamedLimits({ clock, random, countVms: countEntries });
+  const named = createAdvertisedLimits({ clock, random, countVms: countEntries });
   let report = (_report: PendingReport): void => {};
 
   function recordNamed({ instanceId, address }: BackendTarget, perS: number): void {
-    const before = named.name(instanceId, perS);
+    const before = named.recordLimit(instanceId, perS);
     if (before === perS) return;
     metrics.count('spoolplank_limits_named_total', {
       change: before === null ? 'begun' : 'changed',
@@ -78,14 +78,14 @@
     recordAnswer(target, directive, sentAtMs) {
       const { instanceId } = target;
       if (directive.kind === 'named') recordNamed(target, directive.perS);
-      else if (named.perSOf(instanceId) === null) return;
+      else if (named.limitPerSOf(instanceId) === null) return;
       report({ instanceId, directive, sentAtMs, receivedAtMs: clock.steadyMs() });
     },
-    perSOf: named.perSOf,
-    maySendAlone: named.hasOwnPermit,
-    takeOwnQuota: named.takeOwnPermit,
+    limitPerSOf: named.limitPerSOf,
+    maySendWithoutPermit: named.maySendWithoutPermit,
+    takeOwnQuota: named.tryConsumeOwnQuota,
     recordUnlimited(instanceId, askedAtMs) {
-      const before = named.perSOf(instanceId);
+      const before = named.limitPerSOf(instanceId);
       if (!named.end(instanceId, clock.steadyMs() - askedAtMs)) return;
       log.info('limit-named', { instanceId, perS: null, before });
     },
--- a/packages/entry/src/quarantine/crashGuard.ts
+++ b/packages/entry/src/quarantine/crashGuard.ts
@@ -19,7 +19,7 @@
 import { createCrashReporter } from './crashReporter';
 import type { CrashReporter } from './crashReporter';
 import type { EngineHealth } from '../repair/engineHealth';
-import { createOwnStatements } from '../gossip/ownStatements';
+import { createFactPublisher } from '../gossip/factPublisher';
 import { createQuarantine } from './quarantine';
 import type { Quarantine } from './quarantine';
 import { contentOf, digestContent } from './requestContent';
@@ -38,9 +38,9 @@
   readonly streams: StreamTable;
   readonly health: Pick<EngineHealth, 'isLost'>;
   /** Whether the server at an address accepts a new connection. */
-  readonly isThere: (address: string) => Promise<boolean>;
+  readonly isReachable: (address: string) => Promise<boolean>;
   /** Sends the facts that this VM publishes at once, instead of with the next exchange. */
-  readonly spread: () => void;
+  readonly exchangeNow: () => void;
 }
 
 export interface CrashGuard {
@@ -87,7 +87,7 @@
   const { clock, host, table, view, streams, health } = options;
 
   /** Many streams report one crash at the same moment; their facts are sent in one exchange. */
-  const spreadSoon = createCoalesced((run) => scheduleTimer(run, 0), options.spread);
+  const exchangeSoon = createCoalesced((run) => scheduleTimer(run, 0), options.exchangeNow);
 
   /**
    * Whether an incarnation of a server has ended: it is suspected, its next incarnation is known,
@@ -95,7 +95,7 @@
    * another server prove nothing: the incarnation, which a granted slot named, may be newer than
    * what this VM knows of the address.
    */
-  function hasEnded({ instanceId, address }: BackendTarget, sinceMs: number): boolean {
+  function isLostOrReplaced({ instanceId, address }: BackendTarget, sinceMs: number): boolean {
     const owner = view.findByAddress(address);
     const isOther =
       owner?.body.kind === 'backend' &&
@@ -124,25 +124,25 @@
     return Math.max(0, rankByRendezvous(key, hosts).indexOf(host));
   }
 
-  const statements = createOwnStatements({ clock, table, spread: spreadSoon });
-  const quarantine: Quarantine = createQuarantine({ ...options, statements });
+  const publisher = createFactPublisher({ clock, table, exchangeNow: exchangeSoon });
+  const quarantine: Quarantine = createQuarantine({ ...options, publisher });
   const crashes = createCrashReporter({
     clock,
     table,
-    state: statements.state,
+    publish: publisher.publish,
     isSuspected: quarantine.isSuspected,
-    isReachable: options.isThere,
+    isReachable: options.isReachable,
     findReceiver,
-    hasEnded,
+    isLostOrReplaced,
     rankOf,
-    onEnd: quarantine.recordEnd,
+    onCrash: quarantine.recordCrash,
   });
 
   /** Aborts the streams in flight whose content is quarantined, unless events have arrived. */
   function endQuarantined(): void {
     [...streams.list()]
       .filter(({ hasBegun, admitted }) => !hasBegun && quarantine.has(contentOf(admitted)))
-      .forEach((row) => row.cut('quarantined'));
+      .forEach((row) => row.abort('quarantined'));
   }
 
   /**
@@ -160,7 +160,7 @@
       if (!row.hasAnswered || row.hasBegun) return;
       const content = digestContent(contentOf(row.admitted));
       const ranMs = Math.round(clock.nowMs() - row.startedAtMs);
-      quarantine.recordEnd({ content, instanceId, turn: 0, evidence: 'run', ranMs });
+      quarantine.recordCrash({ content, instanceId, turn: 0, evidence: 'run', ranMs });
     },
     onFact(body) {
       if (body.kind === 'open-run') {
@@ -171,7 +171,7 @@
       refreshSoon();
     },
     sweep() {
-      statements.sweep();
+      publisher.sweep();
       quarantine.sweep();
     },
   };
--- a/packages/entry/src/quarantine/crashReporter.ts
+++ b/packages/entry/src/quarantine/crashReporter.ts
@@ -33,13 +33,13 @@
  * A run whose server ended. Its evidence is `run` if the server had started to execute the content,
  * and `attempt` if the request had been sent without proof of that.
  */
-export type EndedRun = Omit<CrashFact, 'kind'>;
+export type CrashedRun = Omit<CrashFact, 'kind'>;
 
 export interface CrashReporterOptions {
   readonly clock: Clock;
   readonly table: Pick<FactTable<SystemFact>, 'find'>;
   /** Publishes a fact, which is a record that all VMs replicate by gossip. */
-  readonly state: (key: string, body: OpenRunFact) => void;
+  readonly publish: (key: string, body: OpenRunFact) => void;
   /** Whether a server has ended while it ran the content. */
   readonly isSuspected: (content: RequestContent) => boolean;
   /** Whether a new connection to the server is accepted. */
@@ -50,11 +50,11 @@
    */
   readonly findReceiver: (target: BackendTarget, sentAtMs: number) => string;
   /** Whether an incarnation that was sent a request at `sinceMs` is known to have ended. */
-  readonly hasEnded: (target: BackendTarget, sinceMs: number) => boolean;
+  readonly isLostOrReplaced: (target: BackendTarget, sinceMs: number) => boolean;
   /** Number of VMs that report the end of another VM's open run before this one. */
   readonly rankOf: (key: string) => number;
   /** Called with each run whose server ended. */
-  readonly onEnd: (end: EndedRun) => void;
+  readonly onCrash: (end: CrashedRun) => void;
 }
 
 export interface CrashReporter {
@@ -92,8 +92,17 @@
 const MAX_OPEN_RUNS = 512;
 
 export function createCrashReporter(options: CrashReporterOptions): CrashReporter {
-  const { clock, table, state, isSuspected, isReachable, findReceiver, hasEnded, rankOf, onEnd } =
-    options;
+  const {
+    clock,
+    table,
+    publish,
+    isSuspected,
+    isReachable,
+    findReceiver,
+    isLostOrReplaced,
+    rankOf,
+    onCrash,
+  } = options;
   /** Open runs by the key of their fact. */
   const followed = new Map<string, FollowedRun>();
   const own = new Set<string>();
@@ -118,17 +127,17 @@
   /**
    * Attempts always have turn 0, as an attempt after the server's end may have reached no server.
    */
-  function toEnd(run: ServerRun, evidence: CrashEvidence, sentAtMs: number): EndedRun {
+  function toEnd(run: ServerRun, evidence: CrashEvidence, sentAtMs: number): CrashedRun {
     const { content, instanceId, ranMs } = run;
     const turn = evidence === 'run' ? countBefore(run, sentAtMs) : 0;
     return { content, instanceId, turn, evidence, ranMs: Math.round(ranMs) };
   }
 
-  function open(end: EndedRun, address: string): void {
+  function open(end: CrashedRun, address: string): void {
     const wallMs = Math.floor(clock.wallMs());
     const body: OpenRunFact = { kind: 'open-run', ...end, address, wallMs };
     const key = FACT_KEYS.openRun(body);
-    state(key, body);
+    publish(key, body);
     // Only tracked runs are kept as this VM's own: `forget` removes a run from both together.
     if (followed.has(key)) own.add(key);
   }
@@ -152,17 +161,17 @@
     const { body } = fact;
     const sentAtMs = fact.receivedAtMs - body.ranMs;
     const target = { instanceId: instanceId ?? body.instanceId, address: body.address };
-    const hasTargetEnded = hasEnded(target, sentAtMs);
+    const hasTargetEnded = isLostOrReplaced(target, sentAtMs);
     const receiverId = hasTargetEnded ? findReceiver(target, sentAtMs) : target.instanceId;
     const isOver =
       hasTargetEnded &&
       (receiverId === target.instanceId ||
-        hasEnded({ ...target, instanceId: receiverId }, sentAtMs));
+        isLostOrReplaced({ ...target, instanceId: receiverId }, sentAtMs));
     const atMs = isOver ? (reportsAtMs ?? nowMs + reportDelayMs(key)) : null;
     followed.set(key, { instanceId: receiverId, reportsAtMs: atMs });
     if (atMs === null || nowMs < atMs) return;
     forget(key);
-    onEnd({ ...body, instanceId: receiverId });
+    onCrash({ ...body, instanceId: receiverId });
   }
 
   return {
@@ -174,9 +183,9 @@
     async record(run) {
       const sentAtMs = clock.nowMs() - run.ranMs;
       const received = { ...run, instanceId: findReceiver(run, sentAtMs) };
-      const hasGone = hasEnded(received, sentAtMs) || !(await isReachable(run.address));
+      const isCrash = isLostOrReplaced(received, sentAtMs) || !(await isReachable(run.address));
       const end = toEnd(received, 'run', sentAtMs);
-      if (hasGone) onEnd(end);
+      if (isCrash) onCrash(end);
       else open(end, run.address);
     },
     onFact(body) {
--- a/packages/entry/src/quarantine/quarantine.ts
+++ b/packages/entry/src/quarantine/quarantine.ts
@@ -16,11 +16,11 @@
   SystemFact,
 } from '@spoolplank/membership';
 import type { EventLog, Metrics } from '@spoolplank/node';
-import { judgeCrashes, QUARANTINE_ENDS } from '@spoolplank/routing';
+import { findPoisonContents, QUARANTINE_CRASHES } from '@spoolplank/routing';
 import { SpoolplankError } from '@spoolplank/shared';
 import type { Clock, JsonValue, Random } from '@spoolplank/shared';
-import type { EndedRun } from './crashReporter';
-import type { OwnStatements } from '../gossip/ownStatements';
+import type { CrashedRun } from './crashReporter';
+import type { FactPublisher } from '../gossip/factPublisher';
 import { digestContent } from './requestContent';
 import type { RequestContent } from './requestContent';
 import { createServedContents } from './servedContents';
@@ -31,7 +31,7 @@
   readonly log: EventLog;
   readonly metrics: Metrics;
   readonly table: FactTable<SystemFact>;
-  readonly statements: OwnStatements;
+  readonly publisher: FactPublisher;
 }
 
 export interface Quarantine {
@@ -48,11 +48,11 @@
    * which two servers have ended is not retried, as that could crash a third one; whether to try it
    * again is left to its caller.
    */
-  maySendOn(content: RequestContent): boolean;
+  mayRetry(content: RequestContent): boolean;
   /** Whether at least one server has ended while it ran the content. */
   isSuspected(content: RequestContent): boolean;
   /** Records the end of a server under a content. */
-  recordEnd(end: EndedRun): void;
+  recordCrash(end: CrashedRun): void;
   /**
    * Records that a server has served a content and survived, which clears it of its earlier
    * crashes.
@@ -70,7 +70,7 @@
   /** Drops the keys of facts that have left the table. */
   sweep(): void;
   /** Facts to publish with the next exchange. */
-  listStatements(): readonly FactUpdate<SystemFact>[];
+  listOutgoingFacts(): readonly FactUpdate<SystemFact>[];
   describe(): JsonValue;
 }
 
@@ -79,8 +79,8 @@
  * restart at once have lost all facts; this brings them back within about ten seconds. Eight facts
  * of 270 bytes in 10 s are 0.22 KB a second.
  */
-const RESTATE_EVERY_MS = 10_000;
-const RESTATED_FACTS = 8;
+const REPUBLISH_EVERY_MS = 10_000;
+const REPUBLISHED_FACTS = 8;
 /** Maximum number of facts, the oldest are dropped first: 0.55 MB, and 0.4 ms to evaluate all. */
 const MAX_KEYS = 2000;
 /**
@@ -96,21 +96,21 @@
   return body.kind === 'crash' ? FACT_KEYS.crash(body) : FACT_KEYS.clearance(body.content);
 }
 
-/** Identifies an ended run. The turn distinguishes incarnations reached under one instance id. */
+/** Identifies a crashed run. The turn distinguishes incarnations reached under one instance id. */
 function runOf({ instanceId, turn }: CrashFact): string {
   return `${instanceId}#${turn}`;
 }
 
 export function createQuarantine(options: QuarantineOptions): Quarantine {
-  const { clock, random, log, metrics, table, statements } = options;
+  const { clock, random, log, metrics, table, publisher } = options;
   /** Keys of the crashes and clearances in the table, in the order in which they were received. */
   const keys = new Set<string>();
   const served = createServedContents({ clock });
-  let endsByContent: ReadonlyMap<string, readonly CrashRow[]> = new Map();
+  let crashesByContent: ReadonlyMap<string, readonly CrashRow[]> = new Map();
   let quarantined: ReadonlySet<string> = new Set();
   /** Set when a fact arrives. Facts arrive in bursts, so they are evaluated together on demand. */
   let isEvaluationDue = false;
-  let restateAtMs = clock.nowMs() + RESTATE_EVERY_MS;
+  let republishAtMs = clock.nowMs() + REPUBLISH_EVERY_MS;
 
   function isCleared(row: CrashRow): boolean {
     const clearance = table.find(FACT_KEYS.clearance(row.body.content));
@@ -134,9 +134,9 @@
     return groups;
   }
 
-  function describeEnds(digest: string) {
+  function describeCrashes(digest: string) {
     const nowMs = clock.nowMs();
-    return (endsByContent.get(digest) ?? []).map(({ body, receivedAtMs, origin }) => ({
+    return (crashesByContent.get(digest) ?? []).map(({ body, receivedAtMs, origin }) => ({
       instanceId: body.instanceId,
       turn: body.turn,
       evidence: body.evidence,
@@ -149,34 +149,36 @@
   function evaluate(): void {
     const before = quarantined;
     isEvaluationDue = false;
-    endsByContent = groupByContent(listCrashes().filter((row) => !isCleared(row)));
-    quarantined = judgeCrashes(
-      [...endsByContent.values()].flat().map(({ body }) => ({ ...body, instanceId: runOf(body) })),
+    crashesByContent = groupByContent(listCrashes().filter((row) => !isCleared(row)));
+    quarantined = findPoisonContents(
+      [...crashesByContent.values()]
+        .flat()
+        .map(({ body }) => ({ ...body, instanceId: runOf(body) })),
     );
     const added = [...quarantined].filter((content) => !before.has(content));
     const released = [...before].filter((content) => !quarantined.has(content));
     added.forEach((content) =>
-      log.warn('content-quarantined', { content, ends: JSON.stringify(describeEnds(content)) }),
+      log.warn('content-quarantined', { content, ends: JSON.stringify(describeCrashes(content)) }),
     );
     released.forEach((content) => log.info('content-released', { content }));
   }
 
   /** Publishes a fact of this VM, which the table then passes to `onFact`. */
-  function state(body: CrashFact | ClearanceFact): void {
-    statements.state(keyOf(body), body);
+  function publish(body: CrashFact | ClearanceFact): void {
+    publisher.publish(keyOf(body), body);
   }
 
   function clear(content: string, reason: ClearanceFact['reason']): void {
     log.info('content-cleared', { content, reason });
-    state({ kind: 'clearance', content, reason, wallMs: Math.floor(clock.wallMs()) });
+    publish({ kind: 'clearance', content, reason, wallMs: Math.floor(clock.wallMs()) });
   }
 
   /** Republishes ageing crashes, so that a content that keeps coming stays quarantined. */
   function renew(digest: string): void {
     const nowMs = clock.nowMs();
-    (endsByContent.get(digest) ?? [])
+    (crashesByContent.get(digest) ?? [])
       .filter(({ receivedAtMs }) => nowMs - receivedAtMs > CRASH_RETENTION_MS / 2)
-      .forEach(({ body }) => state(body));
+      .forEach(({ body }) => publish(body));
   }
 
   function refresh(): boolean {
@@ -190,15 +192,15 @@
     return [...quarantined].some((content) => !before.has(content));
   }
 
-  /** Number of distinct server incarnations that ended under a content. */
-  function countEnds(rows: readonly CrashRow[]): number {
+  /** Number of distinct server incarnations that crashed under a content. */
+  function countCrashes(rows: readonly CrashRow[]): number {
     return new Set(rows.map(({ body }) => runOf(body))).size;
   }
 
-  function endsOf(content: RequestContent): readonly CrashRow[] {
+  function crashesOf(content: RequestContent): readonly CrashRow[] {
     refresh();
     // Usually no content is suspected, and no digest has to be computed.
-    return endsByContent.size === 0 ? [] : (endsByContent.get(digestContent(content)) ?? []);
+    return crashesByContent.size === 0 ? [] : (crashesByContent.get(digestContent(content)) ?? []);
   }
 
   function has(content: RequestContent): boolean {
@@ -208,9 +210,9 @@
 
   function drawKeys(): readonly string[] {
     const all = [...keys];
-    if (all.length <= RESTATED_FACTS) return all;
+    if (all.length <= REPUBLISHED_FACTS) return all;
     const drawn = Array.from(
-      { length: RESTATED_FACTS },
+      { length: REPUBLISHED_FACTS },
       () => all[random.nextInt(all.length)] ?? '',
     );
     return [...new Set(drawn)];
@@ -221,37 +223,37 @@
     check(content) {
       if (!has(content)) return;
       const digest = digestContent(content);
-      const rows = endsOf(content);
+      const rows = crashesOf(content);
       renew(digest);
       metrics.count('spoolplank_requests_quarantined_total', {});
       const lastMs = Math.max(...rows.map(({ receivedAtMs }) => receivedAtMs));
       const ageS = Math.round((clock.nowMs() - lastMs) / MS_PER_S);
       throw new SpoolplankError('quarantined', {
-        detail: `Content ${digest}: ${countEnds(rows)} ended, the last one ${ageS} s ago.`,
+        detail: `Content ${digest}: ${countCrashes(rows)} ended, the last one ${ageS} s ago.`,
         retryAfterMs: CRASH_RETENTION_MS,
       });
     },
-    maySendOn: (content) => countEnds(endsOf(content)) < QUARANTINE_ENDS - 1,
-    isSuspected: (content) => endsOf(content).length > 0,
-    recordEnd({ content, instanceId, turn, evidence, ranMs }) {
+    mayRetry: (content) => countCrashes(crashesOf(content)) < QUARANTINE_CRASHES - 1,
+    isSuspected: (content) => crashesOf(content).length > 0,
+    recordCrash({ content, instanceId, turn, evidence, ranMs }) {
       const body: CrashFact = { kind: 'crash', content, instanceId, turn, evidence, ranMs };
       // Skips a run that was already reported for another copy of the request, by any VM, and
       // contents that were served recently.
       if (table.find(keyOf(body)) || served.has(content)) return;
-      state(body);
+      publish(body);
       refresh();
-      const ends = countEnds(endsByContent.get(content) ?? []);
+      const ends = countCrashes(crashesByContent.get(content) ?? []);
       log.info('content-suspected', { content, instanceId, turn, ranMs, evidence, ends });
       metrics.count('spoolplank_content_ends_total', {});
     },
     recordServed(content) {
       const isTracked = content.request.body.length <= MAX_TRACKED_BYTES;
       if (isTracked) served.record(digestContent(content));
-      if (endsOf(content).length > 0) clear(digestContent(content), 'served');
+      if (crashesOf(content).length > 0) clear(digestContent(content), 'served');
     },
     release(digest) {
       refresh();
-      if (!endsByContent.has(digest)) return false;
+      if (!crashesByContent.has(digest)) return false;
       clear(digest, 'operator');
       return true;
     },
@@ -269,18 +271,18 @@
       });
       evaluate();
     },
-    listStatements() {
+    listOutgoingFacts() {
       const nowMs = clock.nowMs();
-      if (nowMs < restateAtMs) return statements.list();
-      restateAtMs = nowMs + RESTATE_EVERY_MS;
-      return statements.list(drawKeys());
+      if (nowMs < republishAtMs) return publisher.list();
+      republishAtMs = nowMs + REPUBLISH_EVERY_MS;
+      return publisher.list(drawKeys());
     },
     describe() {
       refresh();
-      return [...endsByContent.keys()].map((content) => ({
+      return [...crashesByContent.keys()].map((content) => ({
         content,
         isQuarantined: quarantined.has(content),
-        ends: describeEnds(content),
+        ends: describeCrashes(content),
       }));
     },
   };
--- a/packages/entry/src/readiness.ts
+++ b/packages/entry/src/readiness.ts
@@ -22,7 +22,7 @@
   isReady(): boolean;
   memberState(): MemberFact['state'];
   /** From now on the VM is not ready, and reports that it is leaving. */
-  beginLeaving(): void;
+  beginDraining(): void;
 }
 
 /**
@@ -47,7 +47,7 @@
       if (isLeaving) return 'leaving';
       return isReady() ? 'ready' : 'starting';
     },
-    beginLeaving() {
+    beginDraining() {
       isLeaving = true;
     },
   };
--- a/packages/entry/src/repair/engineHealth.ts
+++ b/packages/entry/src/repair/engineHealth.ts
@@ -15,7 +15,7 @@
   readonly table: FactTable<SystemFact>;
   readonly dataCentre: string;
   /** Sends the facts that this VM publishes at once, instead of with the next exchange. */
-  readonly spread: () => void;
+  readonly exchangeNow: () => void;
 }
 
 export interface EngineHealth {
@@ -32,7 +32,7 @@
    */
   isLost(instanceId: string): boolean;
   /** Suspicions of this entry that are still repeated with each exchange. */
-  listStatements(): readonly FactUpdate<SystemFact>[];
+  listOutgoingFacts(): readonly FactUpdate<SystemFact>[];
 }
 
 /** Exclusion of an engine that could not run its stage, because it is full or leaving. */
@@ -54,7 +54,7 @@
 }
 
 export function createEngineHealth(options: EngineHealthOptions): EngineHealth {
-  const { clock, log, metrics, table, dataCentre, spread } = options;
+  const { clock, log, metrics, table, dataCentre, exchangeNow } = options;
   const avoidedUntilMs = new Map<string, number>();
   const suspicions = new Map<string, OwnSuspicion>();
 
@@ -96,7 +96,7 @@
       });
       metrics.count('spoolplank_engines_suspected_total', { evidence });
       table.put(FACT_KEYS.suspicion(instanceId), sequence, { kind: 'suspicion', instanceId });
-      spread();
+      exchangeNow();
     },
     isLost(instanceId) {
       if (hasRestarted(table, instanceId)) return true;
@@ -104,7 +104,7 @@
       const announced = findBackend(table, instanceId);
       return suspicion !== undefined && suspicion.sequence >= Math.floor(announced?.sequence ?? 0);
     },
-    listStatements() {
+    listOutgoingFacts() {
       const nowMs = clock.nowMs();
       return [...suspicions]
         .filter(([, { atMs }]) => nowMs - atMs < SUSPICION_REPEAT_MS)
--- a/packages/entry/src/repair/streamRepair.ts
+++ b/packages/entry/src/repair/streamRepair.ts
@@ -27,9 +27,9 @@
 
 export interface StreamRepair {
   /** Probes an engine after a failed connection, and reports it to all entries if it is lost. */
-  examine(instanceId: string, address: string): void;
+  probeAfterFailure(instanceId: string, address: string): void;
   /** Whether a new connection to an address is accepted; concurrent callers share one probe. */
-  isThere(address: string): Promise<boolean>;
+  isReachable(address: string): Promise<boolean>;
   /** Checks for streams that have been silent too long; called periodically. */
   tick(): void;
   /** Repairs every stream whose path includes a lost engine. */
@@ -91,7 +91,7 @@
     return false;
   }
 
-  function isReachable(address: string): Promise<boolean> {
+  function findReachability(address: string): Promise<boolean> {
     const nowMs = clock.nowMs();
     const known = reachability.get(address);
     if (known && nowMs - known.atMs < PROBE_REUSE_MS) return known.result;
@@ -112,10 +112,13 @@
 
   async function findLostEngines(row: StreamRow): Promise<void> {
     const checks = await Promise.all(
-      row.stages.map(async (stage) => ({ stage, isThere: await isReachable(stage.address) })),
+      row.stages.map(async (stage) => ({
+        stage,
+        isReachable: await findReachability(stage.address),
+      })),
     );
     checks
-      .filter(({ isThere }) => !isThere)
+      .filter(({ isReachable }) => !isReachable)
       .forEach(({ stage }) => markLost(row, stage.id, 'no-connection'));
     row.checks += 1;
     const [head] = row.stages;
@@ -137,7 +140,7 @@
     const { request, service } = admitted;
     const [head] = row.stages;
     if (!head || row.lostIds.has(head.id)) {
-      row.cut('head-lost');
+      row.abort('head-lost');
       return;
     }
     for (let attempt = 0; attempt < MAX_REPAIR_ATTEMPTS; attempt += 1) {
@@ -165,13 +168,13 @@
       row.lostIds.add(unfit);
       avoid(unfit);
     }
-    row.cut('no-repair');
+    row.abort('no-repair');
   }
 
   function startRepair(row: StreamRow): void {
-    if (row.isRepairing || row.cutReason !== null) return;
+    if (row.isRepairing || row.abortReason !== null) return;
     if (quarantine.has(contentOf(row.admitted))) {
-      row.cut('quarantined');
+      row.abort('quarantined');
       return;
     }
     row.isRepairing = true;
@@ -181,7 +184,7 @@
           requestId: row.admitted.request.id,
           problem: String(error),
         });
-        row.cut('no-repair');
+        row.abort('no-repair');
       })
       .finally(() => {
         row.isRepairing = false;
@@ -266,19 +269,20 @@
   }
 
   return {
-    examine(instanceId, address) {
-      void isReachable(address).then((isThere) => {
-        if (!isThere) suspect(instanceId, 'connection-failed');
+    probeAfterFailure(instanceId, address) {
+      void findReachability(address).then((isReachable) => {
+        if (!isReachable) suspect(instanceId, 'connection-failed');
       });
     },
-    isThere: isReachable,
+    isReachable: findReachability,
     tick() {
       const nowMs = clock.nowMs();
       const newest = paths.lastEventByPath(streams.list());
       pruneProbeRequests(newest);
       for (const row of streams.list()) {
         const lastPathEventMs = newest.get(paths.keyOf(row.stages)) ?? Number.NEGATIVE_INFINITY;
-        const isBusy = row.isChecking || row.isRepairing || row.isPaused || row.cutReason !== null;
+        const isBusy =
+          row.isChecking || row.isRepairing || row.isPaused || row.abortReason !== null;
         if (!isBusy && isProbeRequestDue(row, nowMs, lastPathEventMs)) {
           probeRequestedAtMs.set(paths.keyOf(row.stages), nowMs);
           void requestProbeOf(row);
--- a/packages/entry/src/sessions/addresses.ts
+++ b/packages/entry/src/sessions/addresses.ts
@@ -35,7 +35,7 @@
 ): readonly WeightedAddress[] {
   const capacity = Math.max(1, context.admissionControl.capacity);
   const live = context.directorySync.directory
-    .listLive()
+    .listAvailable()
     .map(({ announcement }) => announcement)
     .filter(({ services }) => services.includes(ENTRY_SERVICE));
   const belowFullLoad = live.filter(({ load }) => load.running < capacity * FULL_LOAD_SHARE);
--- a/packages/entry/src/sessions/admissionControl.ts
+++ b/packages/entry/src/sessions/admissionControl.ts
@@ -86,8 +86,8 @@
   const queuedRequests = new Map<string, QueuedRequest>();
 
   function createServiceQueue(service: string, concurrency: number): ServiceQueue {
-    const hasRoom = (organisation: string) =>
-      admission.hasRoom([
+    const hasCapacity = (organisation: string) =>
+      admission.hasCapacity([
         { pointer: `/organisations/${organisation}`, policy: mirror.policyOf({ organisation }) },
         {
           pointer: `/organisations/${organisation}/services/${service}`,
@@ -95,7 +95,7 @@
         },
       ]);
     let fairQueue = new FairQueue();
-    const queueClass = createFairQueueClass(hasRoom, (created) => {
+    const queueClass = createFairQueueClass(hasCapacity, (created) => {
       fairQueue = created;
     });
     const queue = new PQueue<FairQueue, FairQueueOptions>({ concurrency, queueClass });
@@ -133,7 +133,7 @@
     // Evicting other organisations' requests frees no capacity under this organisation's own limit.
     const isShared = fullBranch.pointer === '' || fullBranch.pointer.startsWith('/services/');
     const victimId = isShared
-      ? fairQueue.findVictim(organisation, policy.weight, policy.priority)
+      ? fairQueue.selectForEviction(organisation, policy.weight, policy.priority)
       : undefined;
     const request = victimId === undefined ? undefined : queuedRequests.get(victimId);
     if (victimId === undefined || !request) return false;
--- a/packages/entry/src/sessions/backendServers.ts
+++ b/packages/entry/src/sessions/backendServers.ts
@@ -17,7 +17,7 @@
 
 function listAnnouncedServers({ directorySync }: EntryContext): readonly Announcement[] {
   return directorySync.directory
-    .listLive()
+    .listAvailable()
     .map(({ announcement }) => announcement)
     .filter(({ services }) => !services.includes(ENTRY_SERVICE));
 }
@@ -43,7 +43,7 @@
   { status, retryAfter = '' }: RejectedAnswer,
 ): void {
   const backoffMs = status === BACKOFF_STATUS ? parseBackoffMs([retryAfter]) : null;
-  const row = directorySync.directory.findLive(name);
+  const row = directorySync.directory.findAvailable(name);
   if (backoffMs === null || !row) return;
   const hasBegun = backoffs.record(backoffKeyOf(row.announcement), backoffMs);
   if (hasBegun) logger.info('server-backoff', { name, backoffMs });
@@ -51,7 +51,7 @@
 
 /** Records that a request is sent to a server, for its backoff state. */
 export function recordSent({ directorySync, backoffs }: EntryContext, name: string): void {
-  const row = directorySync.directory.findLive(name);
+  const row = directorySync.directory.findAvailable(name);
   if (row) backoffs.recordSent(backoffKeyOf(row.announcement));
 }
 
--- a/packages/entry/src/sessions/stagePatience.ts
+++ b/packages/entry/src/sessions/chainFailureDetector.ts
@@ -9,7 +9,7 @@
  */
 import type { Clock } from '@spoolplank/shared';
 
-export interface StagePatience {
+export interface ChainFailureDetector {
   /** Records the arrival of a token. */
   observe(): void;
   /** Restarts the wait without learning from the interval, after backpressure by the caller. */
@@ -22,7 +22,7 @@
   giveUpAtMs(): number;
 }
 
-export interface StagePatienceOptions {
+export interface ChainFailureDetectorOptions {
   readonly clock: Clock;
   /** Estimated time per token. */
   readonly estimatedStepMs: number;
@@ -43,11 +43,11 @@
 /** Prefill time allowed per position before the first token. */
 const PREFILL_MS_PER_TOKEN = 1;
 
-export function createStagePatience({
+export function createChainFailureDetector({
   clock,
   estimatedStepMs,
   prefillTokens,
-}: StagePatienceOptions): StagePatience {
+}: ChainFailureDetectorOptions): ChainFailureDetector {
   let lastMs = clock.nowMs();
   let gapMs = estimatedStepMs;
   let bestGapMs = Number.POSITIVE_INFINITY;
--- a/packages/entry/src/sessions/chainFinder.ts
+++ b/packages/entry/src/sessions/chainFinder.ts
@@ -102,7 +102,8 @@
         suspectedNames.length > 0 ? suspectedNames : chain.stages.map(({ name }) => name);
       const expiresAtMs = clock.nowMs() + EXCLUSION_DURATION_MS;
       names.forEach((name) => {
-        const incarnation = directorySync.directory.findLive(name)?.announcement.incarnation ?? 0;
+        const incarnation =
+          directorySync.directory.findAvailable(name)?.announcement.incarnation ?? 0;
         exclusions.set(name, { incarnation, isSilent: silentNames.includes(name), expiresAtMs });
       });
       return names;
--- a/packages/entry/src/sessions/controlClient.ts
+++ b/packages/entry/src/sessions/controlClient.ts
@@ -1,5 +1,5 @@
 /** Client with which every VM calls the current leader of the control group. */
-import { vmOfReplica } from '@spoolplank/consensus';
+import { vmIdOfReplica } from '@spoolplank/consensus';
 import { delay } from '@spoolplank/node';
 import type { PeerMethod } from '@spoolplank/node';
 import type { VmAddress } from '@spoolplank/settings';
@@ -66,7 +66,7 @@
   }
 
   function followLeaderHint(error: SpoolplankError): void {
-    const hintedVmId = error.leaderId === undefined ? undefined : vmOfReplica(error.leaderId);
+    const hintedVmId = error.leaderId === undefined ? undefined : vmIdOfReplica(error.leaderId);
     preferredVmId = hintedVmId === preferredVmId ? undefined : hintedVmId;
   }
 
--- a/packages/entry/src/sessions/directorySync.ts
+++ b/packages/entry/src/sessions/directorySync.ts
@@ -205,7 +205,7 @@
     registrarsFor(name, dataCentre) {
       const registrars = registrarsOf(dataCentre);
       const isReachable = ({ vmId }: VmAddress) =>
-        vmId === vm.vmId || directory.findLive(`@${vmId}`) !== undefined;
+        vmId === vm.vmId || directory.findAvailable(`@${vmId}`) !== undefined;
       const ranked = rankByRendezvous(
         name,
         registrars.map(({ vmId }) => vmId),
--- a/packages/entry/src/sessions/dispatchPlain.ts
+++ b/packages/entry/src/sessions/dispatchPlain.ts
@@ -2,7 +2,7 @@
 import { Agent } from 'node:http';
 import type { IncomingHttpHeaders } from 'node:http';
 import { callHttp, createAgent } from '@spoolplank/node';
-import type { HttpAnswer } from '@spoolplank/node';
+import type { HttpResponse } from '@spoolplank/node';
 import type { Announcement } from '@spoolplank/membership';
 import { selectBackendServer } from '@spoolplank/routing';
 import { SpoolplankError, toSpoolplankError } from '@spoolplank/shared';
@@ -36,7 +36,7 @@
   context: EntryContext,
   call: PlainCall,
   target: Announcement,
-): Promise<HttpAnswer> {
+): Promise<HttpResponse> {
   const { caller } = call;
   const remainingMs = Math.floor(deadlineOf(caller) - context.clock.nowMs());
   const controller = new AbortController();
@@ -77,7 +77,7 @@
   context: EntryContext,
   call: PlainCall,
   target: Announcement,
-): Promise<HttpAnswer> {
+): Promise<HttpResponse> {
   const { loads, clock, metrics } = context;
   const startedMs = clock.nowMs();
   loads.start(target.name);
@@ -154,7 +154,7 @@
  * @throws SpoolplankError whose outcome covers every attempt: `not-run` only if none of them
  * can have run.
  */
-export async function dispatchPlain(context: EntryContext, call: PlainCall): Promise<HttpAnswer> {
+export async function dispatchPlain(context: EntryContext, call: PlainCall): Promise<HttpResponse> {
   const { caller } = call;
   const { retryBudget, clock, metrics } = context;
   const excluded = new Set<string>();
--- a/packages/entry/src/sessions/engineStream.ts
+++ b/packages/entry/src/sessions/engineStream.ts
@@ -1,6 +1,6 @@
 /** One attempt of a session: a token stream from the first engine of a chain. */
 import type { IncomingMessage } from 'node:http';
-import { createAgent, openCall } from '@spoolplank/node';
+import { createAgent, sendHttpRequest } from '@spoolplank/node';
 import type { Chain, TokenEvent } from '@spoolplank/routing';
 import { SpoolplankError } from '@spoolplank/shared';
 import type { RejectedAnswer } from './backendServers';
@@ -101,7 +101,7 @@
     maxTokens: record.request.maxTokens,
     priority: record.request.priority,
   };
-  const response = await openCall({
+  const response = await sendHttpRequest({
     endpoint: first,
     method: 'POST',
     path: '/streams',
--- a/packages/entry/src/sessions/plainService.ts
+++ b/packages/entry/src/sessions/plainService.ts
@@ -2,7 +2,7 @@
 import { createHash } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { readBody } from '@spoolplank/node';
-import type { HttpAnswer } from '@spoolplank/node';
+import type { HttpResponse } from '@spoolplank/node';
 import { OUTCOME_BY_CLAIM } from '@spoolplank/control';
 import type { ClaimResult, StoredAnswer } from '@spoolplank/control';
 import { SpoolplankError, toSpoolplankError } from '@spoolplank/shared';
@@ -20,7 +20,7 @@
 const CLOCK_SKEW_MS = 60_000;
 const CLAIM_RETRY_AFTER_MS = 1000;
 
-function writeAnswer(response: ServerResponse, answer: HttpAnswer, isReplayed = false): void {
+function writeAnswer(response: ServerResponse, answer: HttpResponse, isReplayed = false): void {
   response.writeHead(answer.status, {
     ...copyResponseHeaders(answer.headers),
     'content-length': answer.body.length,
@@ -29,7 +29,7 @@
   response.end(answer.body);
 }
 
-function toStoredAnswer({ status, headers, body }: HttpAnswer): StoredAnswer | null {
+function toStoredAnswer({ status, headers, body }: HttpResponse): StoredAnswer | null {
   if (body.length > MAX_STORED_ANSWER_BYTES) return null;
   return {
     status,
@@ -38,7 +38,7 @@
   };
 }
 
-function fromStoredAnswer({ status, contentType, bodyBase64 }: StoredAnswer): HttpAnswer {
+function fromStoredAnswer({ status, contentType, bodyBase64 }: StoredAnswer): HttpResponse {
   return {
     status,
     headers: { 'content-type': contentType },
@@ -53,7 +53,7 @@
     .digest('base64url');
 }
 
-type ClaimAnswer = (result: never) => HttpAnswer;
+type ClaimAnswer = (result: never) => HttpResponse;
 
 /** Answers or errors for a request whose key was not granted, by claim status. */
 const CLAIM_ANSWERS: Readonly<Record<Exclude<ClaimResult['status'], 'granted'>, ClaimAnswer>> = {
@@ -94,7 +94,7 @@
   context: EntryContext,
   call: PlainCall,
   claim: ClaimIdentity,
-): Promise<HttpAnswer> {
+): Promise<HttpResponse> {
   try {
     const answer = await dispatchPlain(context, call);
     await context.claims.settle(claim, 'done', toStoredAnswer(answer));
@@ -112,7 +112,7 @@
   context: EntryContext,
   call: PlainCall,
   key: string,
-): Promise<{ answer: HttpAnswer; isReplayed: boolean }> {
+): Promise<{ answer: HttpResponse; isReplayed: boolean }> {
   const { caller } = call;
   assertKeyAge(caller, context.clock.wallMs());
   const owner = `${context.settings.vm.vmId}/${context.instance}/${caller.requestId}`;
--- a/packages/entry/src/sessions/sessionDriver.ts
+++ b/packages/entry/src/sessions/sessionDriver.ts
@@ -50,7 +50,7 @@
     const chain = finder.find(withoutPermit);
     const retryInMs = retryDelaysMs.length > 0 ? Math.min(...retryDelaysMs) : undefined;
     const firstEngine = chain?.stages[0]?.name ?? '';
-    const server = directorySync.directory.findLive(firstEngine)?.announcement;
+    const server = directorySync.directory.findAvailable(firstEngine)?.announcement;
     if (!chain || !server) return { chain, retryInMs };
     const permit = await limits.take(server);
     if (permit.isPermitted) return { chain, retryInMs };
@@ -103,7 +103,7 @@
   const { context, record, replication, layers, sink, signal } = options;
   let stream: EngineStream;
   const firstEngine = chain.stages[0]?.name ?? '';
-  const server = context.directorySync.directory.findLive(firstEngine)?.announcement;
+  const server = context.directorySync.directory.findAvailable(firstEngine)?.announcement;
   recordSent(context, firstEngine);
   const sentAtMs = context.clock.steadyMs();
   try {
