--- a/packages/entry/src/sessions/sessionLimits.ts
+++ b/packages/entry/src/sessions/sessionLimits.ts
@@ -7,8 +7,8 @@
 import type { PeerMethod } from '@spoolplank/node';
 import type { Announcement } from '@spoolplank/membership';
 import type { VmAddress } from '@spoolplank/settings';
-import { createRetryTurns } from '@spoolplank/routing';
-import type { LimitDirective, NamedLimit } from '@spoolplank/routing';
+import { createRetrySchedule } from '@spoolplank/routing';
+import type { LimitDirective, AdvertisedLimit } from '@spoolplank/routing';
 import { rankByRendezvous } from '@spoolplank/shared';
 import type { JsonValue } from '@spoolplank/shared';
 import { listVmsWithRole, toPeerTarget } from '@spoolplank/vm';
@@ -28,7 +28,7 @@
 interface PermitCall {
   readonly vm: string;
   readonly instanceId: string;
-  readonly limits: readonly NamedLimit[];
+  readonly limits: readonly AdvertisedLimit[];
   readonly reports: readonly LimitReport[];
   /** Whether the call requests a permit, rather than only reporting. */
   readonly isAsk: boolean;
@@ -82,7 +82,7 @@
   const { vmId } = settings.vm;
 
   function listLiveEntryVms(): readonly VmAddress[] {
-    const live = new Set(directory.listLive().map(({ announcement: { name } }) => name));
+    const live = new Set(directory.listAvailable().map(({ announcement: { name } }) => name));
     return listVmsWithRole(settings, 'entry').filter(
       (vm) => vm.vmId === vmId || live.has(`@${vm.vmId}`),
     );
@@ -105,17 +105,17 @@
     metrics,
     countEntries: countEntryVms,
   });
-  const retryTurns = createRetryTurns({ clock });
+  const retrySchedule = createRetrySchedule({ clock });
   const isOwner = (instanceId: string) => ownerOf(instanceId)?.vmId === vmId;
   const account = createLimitAccount({ clock, log, metrics, isOwner, countEntries: countEntryVms });
 
   function handlePermitCall({ vm, instanceId, limits, reports, isAsk }: PermitCall): PermitReply {
-    account.learn(vm, reports, limits);
-    const isPermitted = !isAsk || (account.hasPermit(instanceId) && account.take(instanceId));
+    account.recordReports(vm, reports, limits);
+    const isPermitted = !isAsk || (account.hasPermit(instanceId) && account.tryAcquire(instanceId));
     const retryInMs = isPermitted
       ? 0
-      : retryTurns.nextInMs(instanceId, account.ratePerS(instanceId), 0);
-    return { isPermitted, perS: account.perSOf(instanceId), retryInMs };
+      : retrySchedule.reserveDelayMs(instanceId, account.ratePerS(instanceId), 0);
+    return { isPermitted, perS: account.limitPerSOf(instanceId), retryInMs };
   }
 
   async function callOwner(
@@ -147,7 +147,7 @@
     },
     async take(server) {
       const instanceId = instanceIdOf(server);
-      const perS = serverLimits.perSOf(instanceId);
+      const perS = serverLimits.limitPerSOf(instanceId);
       if (perS === null) return { isPermitted: true };
       const permitAskedAtMs = clock.steadyMs();
       const reply = await callOwner(instanceId, { reports: [], isAsk: true });
--- a/packages/entry/src/sessions/settingsMirror.ts
+++ b/packages/entry/src/sessions/settingsMirror.ts
@@ -5,9 +5,9 @@
  * after a change was accepted, it is therefore in force on every VM that still accepts requests.
  */
 import { join } from 'node:path';
-import { delay, readFileIfAny, replaceFile } from '@spoolplank/node';
+import { delay, readFileIfExists, replaceFile } from '@spoolplank/node';
 import type { AcceptedChange, SettingsDelta } from '@spoolplank/control';
-import { applyEdits, EMPTY_TREE, resolvePolicy } from '@spoolplank/settings';
+import { applyEdits, EMPTY_SETTINGS_TREE, resolvePolicy } from '@spoolplank/settings';
 import type { BranchPath, Policy, SettingsTree } from '@spoolplank/settings';
 import { rankByRendezvous, SpoolplankError, toSpoolplankError } from '@spoolplank/shared';
 import type { SettingsPull, SettingsPullReply, VersionReport } from '@spoolplank/controller';
@@ -70,7 +70,7 @@
   const downstreamReports = new Map<string, { readonly version: number; readonly atMs: number }>();
   let organisationsByDigest = new Map<string, string>();
   let version = 0;
-  let tree: SettingsTree = EMPTY_TREE;
+  let tree: SettingsTree = EMPTY_SETTINGS_TREE;
   let recentChanges: readonly AcceptedChange[] = [];
   let freshUntilMs = Number.NEGATIVE_INFINITY;
   /** Lowest version that may be put in force here; persisted, so it holds across restarts. */
@@ -250,7 +250,7 @@
     },
     async start() {
       if (floorPath !== undefined) {
-        const stored = await readFileIfAny(floorPath);
+        const stored = await readFileIfExists(floorPath);
         if (stored)
           floorVersion = (JSON.parse(stored.toString('utf8')) as { version: number }).version;
       }
--- a/packages/entry/src/sessions/tokenRelay.ts
+++ b/packages/entry/src/sessions/tokenRelay.ts
@@ -4,7 +4,7 @@
 import type { EngineStream, StreamLine } from './engineStream';
 import type { EntryContext } from './entryContext';
 import type { SessionRecord, SessionToken } from './sessionStore';
-import { createStagePatience } from './stagePatience';
+import { createChainFailureDetector } from './chainFailureDetector';
 import { findSilentStages } from './stageProbe';
 
 /** Receives the relayed tokens. */
@@ -52,7 +52,7 @@
   const { clock, metrics } = context;
   const prefillTokens = record.request.prompt.length / CHARACTERS_PER_TOKEN + record.tokens.length;
   const { estimatedStepMs } = chain;
-  const stallDetector = createStagePatience({ clock, estimatedStepMs, prefillTokens });
+  const stallDetector = createChainFailureDetector({ clock, estimatedStepMs, prefillTokens });
   const stageNames = chain.stages.map(({ name }) => name);
 
   return new Promise((resolve, reject) => {
--- a/packages/entry/src/slots/dataCentreRank.ts
+++ b/packages/entry/src/slots/dataCentreRank.ts
@@ -8,7 +8,7 @@
 export interface RankedDataCentre {
   readonly dataCentre: string;
   /** Whether its published load is below `CAPACITY_SHARE`, so that it probably has a free slot. */
-  readonly hasRoom: boolean;
+  readonly hasCapacity: boolean;
 }
 
 export interface DataCentreRankOptions {
@@ -52,9 +52,9 @@
       const isOwn = dataCentre === own;
       // The own data centre is asked first while its capacity is unknown.
       const cost = isOwn && !known ? 0 : costOf(known) + (isOwn ? 0 : REMOTE_PENALTY);
-      return { dataCentre, cost, hasRoom: costOf(known) < CAPACITY_SHARE };
+      return { dataCentre, cost, hasCapacity: costOf(known) < CAPACITY_SHARE };
     })
     .filter(({ dataCentre, cost }) => dataCentre === own || cost < NO_CHAIN_COST)
     .sort((a, b) => a.cost - b.cost)
-    .map(({ dataCentre, hasRoom }) => ({ dataCentre, hasRoom }));
+    .map(({ dataCentre, hasCapacity }) => ({ dataCentre, hasCapacity }));
 }
--- a/packages/entry/src/slots/slotAccount.ts
+++ b/packages/entry/src/slots/slotAccount.ts
@@ -12,7 +12,7 @@
   /** Total size in flight on a chain as reported by all entries. */
   readonly reportedInFlight: (headId: string) => number;
   /** Whether this VM is the allocator of its data centre, as far as it knows. */
-  readonly isFirst: () => boolean;
+  readonly isAllocator: () => boolean;
 }
 
 export interface SlotAccount extends SlotLedger {
@@ -34,7 +34,7 @@
 const IDLE_RESET_MS = 2600;
 
 export function createSlotAccount(options: SlotAccountOptions): SlotAccount {
-  const { clock, reportedInFlight, isFirst } = options;
+  const { clock, reportedInFlight, isAllocator } = options;
   const ledger = createSlotLedger({ clock });
   const reportedAtStart = new Map<string, number>();
   const grantedSinceStart = new Map<string, number>();
@@ -43,7 +43,7 @@
 
   /** Whether the ledger has the slots of all VMs. It lacks those granted by another allocator. */
   function isComplete(): boolean {
-    return clock.nowMs() >= recoveredAtMs && isFirst();
+    return clock.nowMs() >= recoveredAtMs && isAllocator();
   }
 
   /**
@@ -68,8 +68,8 @@
       grantedSinceStart.set(headId, (grantedSinceStart.get(headId) ?? 0) + size);
     },
     report: ledger.report,
-    giveUp: ledger.giveUp,
-    heldOn: ledger.heldOn,
+    cancel: ledger.cancel,
+    heldSizeOf: ledger.heldSizeOf,
     get holders() {
       return ledger.holders;
     },
@@ -83,7 +83,7 @@
       usedAtMs = nowMs;
     },
     inFlightOn(headId) {
-      const held = ledger.heldOn(headId);
+      const held = ledger.heldSizeOf(headId);
       if (isComplete()) return held;
       return Math.max(
         held,
--- a/packages/entry/src/slots/slotAllocator.ts
+++ b/packages/entry/src/slots/slotAllocator.ts
@@ -8,7 +8,7 @@
  * to poll first.
  */
 import type { ServiceCapacity } from '@spoolplank/membership';
-import { createRetryTurns } from '@spoolplank/routing';
+import { createRetrySchedule } from '@spoolplank/routing';
 import { SpoolplankError } from '@spoolplank/shared';
 import type { Clock } from '@spoolplank/shared';
 import { createAdmissionQueue } from '../admission/admissionQueue';
@@ -29,7 +29,7 @@
   /** Total size in flight on a chain as reported by all entries. */
   readonly reportedInFlight: (headId: string) => number;
   /** Whether this VM is the allocator of its data centre, as far as it knows. */
-  readonly isFirst: () => boolean;
+  readonly isAllocator: () => boolean;
   /** Whether this VM has a configuration. Without one it has no chains to allocate. */
   readonly isConfigured: () => boolean;
 }
@@ -53,7 +53,7 @@
 interface Ticket {
   /** The latest repetition of the ask; the chains that back off for its VM may have changed. */
   ask: SlotAsk;
-  readonly leavesAtMs: number;
+  readonly queueDeadlineAtMs: number;
   lastAskedAtMs: number;
   /** Null while the request is queued; then the granted slot, or undefined if there was none. */
   outcome: { readonly slot: GrantedSlot | undefined } | null;
@@ -78,7 +78,7 @@
 
 export function createSlotAllocator(options: SlotAllocatorOptions): SlotAllocator {
   const { clock, delay, limits } = options;
-  const retryTurns = createRetryTurns({ clock });
+  const retrySchedule = createRetrySchedule({ clock });
   const account = createSlotAccount(options);
   const slotChains = createSlotChains({ ...options, inFlightOn: account.inFlightOn });
   const permits = createSlotPermits({ limits });
@@ -113,7 +113,7 @@
     const nowMs = clock.nowMs();
     const ticket: Ticket = {
       ask,
-      leavesAtMs: nowMs + ask.leavesInMs,
+      queueDeadlineAtMs: nowMs + ask.leavesInMs,
       lastAskedAtMs: nowMs,
       outcome: null,
       settled: Promise.resolve(),
@@ -122,8 +122,8 @@
       priority: ask.priority,
       hasBegun: ask.hasBegun,
       arrivedAtMs: nowMs - ask.waitedMs,
-      inTimeUntilMs: nowMs + ask.inTimeForMs,
-      leavesAtMs: ticket.leavesAtMs,
+      latestStartAtMs: nowMs + ask.inTimeForMs,
+      queueDeadlineAtMs: ticket.queueDeadlineAtMs,
       isRetry: ask.isRetry,
       find: () => findSlot(holder, ticket.ask),
       exclusionKey: () => exclusionKeyOf(ticket.ask),
@@ -131,17 +131,17 @@
       isAbandoned: () => clock.nowMs() - ticket.lastAskedAtMs > ABANDONED_AFTER_MS,
     };
     ticket.settled = queueOf(ask.service)
-      .enter(wait)
+      .enqueue(wait)
       .then((slot) => {
         ticket.outcome = { slot };
       });
     return ticket;
   }
 
-  function refusalReasonOf(ask: SlotAsk, { leavesAtMs }: Ticket): SlotRefusal {
+  function refusalReasonOf(ask: SlotAsk, { queueDeadlineAtMs }: Ticket): SlotRefusal {
     if (slotChains.isTurnedAway(ask)) return 'turned-away';
     if (!slotChains.hasUsable(ask)) return 'no-chain';
-    return clock.nowMs() < leavesAtMs ? 'hopeless' : 'time-over';
+    return clock.nowMs() < queueDeadlineAtMs ? 'hopeless' : 'time-over';
   }
 
   /** Tries once without queueing; grants nothing while requests are queued, as these come first. */
@@ -155,7 +155,7 @@
     const perS = slotChains.limitedRate(ask);
     const slotsPerS = queueOf(ask.service).slotsPerS();
     if (perS === null) return { kind: 'refused', reason, ahead, slotsPerS };
-    const retryInMs = retryTurns.nextInMs(ask.service, perS, ahead);
+    const retryInMs = retrySchedule.reserveDelayMs(ask.service, perS, ahead);
     return { kind: 'refused', reason, ahead, slotsPerS: perS, retryInMs };
   }
 
@@ -176,13 +176,13 @@
 
   function end(holder: string, name: string): void {
     permits.recordUsed(holder, name);
-    account.giveUp(holder, name);
+    account.cancel(holder, name);
     const ticket = tickets.get(keyOf(holder, name));
     if (ticket) ticket.lastAskedAtMs = Number.NEGATIVE_INFINITY;
   }
 
   /** Releases the slot of a request that was not sent, and refunds its permit. */
-  function giveUp(holder: string, name: string): void {
+  function cancel(holder: string, name: string): void {
     permits.refund(holder, name);
     end(holder, name);
   }
@@ -207,12 +207,12 @@
       account.report(holder, { sequence, slots });
       permits.recordListed(holder, slots);
       ended.forEach((ticket) => end(holder, ticket));
-      givenUp.forEach((ticket) => giveUp(holder, ticket));
-      limits.learn(holder, limitReports, ask?.limits ?? []);
+      givenUp.forEach((ticket) => cancel(holder, ticket));
+      limits.recordReports(holder, limitReports, ask?.limits ?? []);
       if (!ask) return { kind: 'noted' };
       if (!options.isConfigured()) throw new SpoolplankError('settings-stale');
       if (slotChains.isTurnedAway(ask)) {
-        giveUp(holder, ask.ticket);
+        cancel(holder, ask.ticket);
         return refuse(ask, 'turned-away', queueOf(ask.service).length);
       }
       return ask.mayWait ? waitInQueue(holder, ask) : tryOnce(holder, ask);
--- a/packages/entry/src/slots/slotChains.ts
+++ b/packages/entry/src/slots/slotChains.ts
@@ -24,7 +24,7 @@
   /** Plain servers of a service in this data centre. */
   readonly listServers: (service: string) => readonly BackendTarget[];
   /** Permits for servers of this data centre that set a rate limit. */
-  readonly limits: Pick<LimitAccount, 'perSOf' | 'ratePerS' | 'hasPermit'>;
+  readonly limits: Pick<LimitAccount, 'limitPerSOf' | 'ratePerS' | 'hasPermit'>;
   /** Total size in flight on a chain. */
   readonly inFlightOn: (headId: string) => number;
   /** Recent time to first event on a chain. */
@@ -108,7 +108,7 @@
 
   /** Capacity of a chain, bounded by what its rate limit admits within the time of one stream. */
   function usableCapacity({ headId, capacity }: RatedChain): number {
-    if (limits.perSOf(headId) === null) return capacity;
+    if (limits.limitPerSOf(headId) === null) return capacity;
     const permittedSoon = limits.ratePerS(headId) * TYPICAL_STREAM_S;
     return Math.min(capacity, inFlightOn(headId) + permittedSoon);
   }
@@ -145,7 +145,7 @@
 
   function limitedRate(ask: SlotAsk): number | null {
     const usable = listUsable(ask);
-    const isLimited = ({ headId }: RatedChain) => limits.perSOf(headId) !== null;
+    const isLimited = ({ headId }: RatedChain) => limits.limitPerSOf(headId) !== null;
     if (usable.length === 0 || !usable.every(isLimited)) return null;
     return usable.reduce((sum, { headId }) => sum + limits.ratePerS(headId), 0);
   }
--- a/packages/entry/src/slots/slotClient.ts
+++ b/packages/entry/src/slots/slotClient.ts
@@ -4,7 +4,7 @@
  * outcome is `unavailable`, and the caller chooses a chain by the load that this VM knows of.
  */
 import type { MemberFact } from '@spoolplank/membership';
-import type { HeldSlot, NamedLimit } from '@spoolplank/routing';
+import type { HeldSlot, AdvertisedLimit } from '@spoolplank/routing';
 import type { Clock } from '@spoolplank/shared';
 import type { ChosenChain } from '../dispatch/chainChoice';
 import type { PendingReport } from '../limits/serverLimits';
@@ -28,9 +28,9 @@
   readonly isRetry: boolean;
   readonly arrivedAtMs: number;
   /** Until then a slot still meets the latency target. */
-  readonly inTimeUntilMs: number;
+  readonly latestStartAtMs: number;
   /** Time at which the request stops waiting. */
-  readonly leavesAtMs: number;
+  readonly queueDeadlineAtMs: number;
   /** Plain servers that may serve the request; undefined for a stream, which needs a chain. */
   readonly heads?: readonly string[];
   /** First engines of the chains that were already tried. */
@@ -72,7 +72,7 @@
   /** Engines that this VM must not send to: they asked it for a backoff, or are leaving. */
   readonly listClosed: () => readonly string[];
   /** Rate limits that servers of a data centre set in their answers to this VM. */
-  readonly listLimits: (dataCentre: string) => readonly NamedLimit[];
+  readonly listLimits: (dataCentre: string) => readonly AdvertisedLimit[];
   /**
    * Called with a server for which the allocator, asked at `askedAtMs` on the steady clock, knows
    * no rate limit.
@@ -89,10 +89,10 @@
    */
   find(request: SlotRequest): Promise<SlotOutcome>;
   /** Tries once to get a slot in a data centre, without waiting in its queue. */
-  look(request: SlotRequest, dataCentre: string): Promise<ChosenChain | undefined>;
+  tryFind(request: SlotRequest, dataCentre: string): Promise<ChosenChain | undefined>;
   /** Records that a slot was released; the next batch reports it to its data centre. */
   recordReleased(dataCentre: string, ticket: string): void;
-  /** Adds a server's statement of its limit to the next batch for its data centre. */
+  /** Adds a server's report about its limit to the next batch for its data centre. */
   reportLimit(dataCentre: string, report: PendingReport): void;
   /** Renews the leases that are due; called periodically. */
   tick(): void;
@@ -167,7 +167,13 @@
     reportedAtMs.set(asked, clock.nowMs());
     const slots = options.listHeld(asked);
     listed.set(asked, new Set(slots.map(({ ticket }) => ticket)));
-    return { holder, dataCentre: options.dataCentre, sequence, slots, ...outbox.take(asked) };
+    return {
+      holder,
+      dataCentre: options.dataCentre,
+      sequence,
+      slots,
+      ...outbox.takePending(asked),
+    };
   }
 
   /** Calls the allocator of a data centre, or its fallback if the call fails. */
@@ -192,7 +198,7 @@
         options.onFailure(target, error instanceof Error ? error.message : String(error));
         // The allocator may have granted a slot in an answer that was lost or late, so the ticket
         // is cancelled.
-        if (ask) outbox.giveUp(dataCentre, ask.ticket);
+        if (ask) outbox.cancel(dataCentre, ask.ticket);
       }
     }
     return undefined;
@@ -210,8 +216,8 @@
       hasBegun,
       isRetry,
       waitedMs: nowMs - request.arrivedAtMs,
-      inTimeForMs: request.inTimeUntilMs - nowMs,
-      leavesInMs: request.leavesAtMs - nowMs,
+      inTimeForMs: request.latestStartAtMs - nowMs,
+      leavesInMs: request.queueDeadlineAtMs - nowMs,
       ...(heads ? { heads } : {}),
       excludedHeads: [...request.excludedHeads],
       avoidedIds: options.listAvoided(),
@@ -224,7 +230,7 @@
 
   function toChain(dataCentre: string, slot: GrantedSlot): ChosenChain {
     const hasPermit = slot.limitPerS !== null;
-    return { ...slot, dataCentre, hasPermit, hasRoom: true, hasRoomForBegun: true };
+    return { ...slot, dataCentre, hasPermit, hasCapacity: true, hasCapacityForResumed: true };
   }
 
   /**
@@ -239,7 +245,7 @@
     if (next === undefined) return [];
     const isFirstCall = next !== queuedAt;
     search.queuedAt = next;
-    const others = open.filter(({ dataCentre, hasRoom }) => hasRoom && dataCentre !== next);
+    const others = open.filter(({ dataCentre, hasCapacity }) => hasCapacity && dataCentre !== next);
     return [
       { dataCentre: next, mayWait: true, holdMs: isFirstCall ? PROBE_HOLD_MS : QUEUE_HOLD_MS },
       ...others.map(({ dataCentre }) => ({ dataCentre, mayWait: false, holdMs: PROBE_HOLD_MS })),
@@ -282,7 +288,7 @@
             // Cancels the ticket in the data centre in whose queue it still is, or which has
             // granted it a slot in the meantime.
             if (queuedAt !== undefined && queuedAt !== chain.dataCentre) {
-              outbox.giveUp(queuedAt, request.ticket);
+              outbox.cancel(queuedAt, request.ticket);
             }
             return { kind: 'granted', chain };
           }
@@ -292,10 +298,10 @@
       if (queuedAt === undefined || search.exhausted.has(queuedAt)) {
         return search.refusal ?? { kind: 'unavailable' };
       }
-      outbox.giveUp(queuedAt, request.ticket);
+      outbox.cancel(queuedAt, request.ticket);
       return search.refusal ?? TIME_OVER;
     },
-    look(request, dataCentre) {
+    tryFind(request, dataCentre) {
       const search: Search = {
         request,
         exhausted: new Set(),
--- a/packages/entry/src/slots/slotFinder.ts
+++ b/packages/entry/src/slots/slotFinder.ts
@@ -42,7 +42,7 @@
   /**
    * Whether the request must not be run any more, because its content was quarantined meanwhile.
    */
-  readonly isUnwanted: () => boolean;
+  readonly isQuarantined: () => boolean;
 }
 
 export interface SlotFinder {
@@ -53,14 +53,14 @@
    *
    * @throws SpoolplankError the refusal for the caller, with the time after which it should retry.
    */
-  toBegin(search: SlotSearch): Promise<ChosenChain | undefined>;
+  findForNew(search: SlotSearch): Promise<ChosenChain | undefined>;
   /**
    * Finds the chain on which a partly delivered stream continues. Waits for a chain with free
    * capacity, possibly the previous one after its repair: moving all streams of a lost engine onto
    * full chains at once would delay the streams that run there. Once the stream has been silent for
    * `MAX_STREAM_PAUSE_MS`, it takes a full chain, as the alternative is to abort it.
    */
-  toResume(search: SlotSearch, silentSinceMs: number): Promise<ChosenChain | undefined>;
+  findForResumed(search: SlotSearch, silentSinceMs: number): Promise<ChosenChain | undefined>;
   /** Time after which the caller of a request that no chain accepted should retry. */
   retryAfterMs(search: Pick<SlotSearch, 'admitted' | 'model'>): number;
 }
@@ -79,7 +79,7 @@
 const MAX_STREAM_PAUSE_MS = 1400;
 const CHAIN_POLL_MS = 50;
 const MS_PER_S = 1000;
-const NONE_EXCLUDED: ReadonlySet<string> = new Set();
+const NO_EXCLUSIONS: ReadonlySet<string> = new Set();
 
 const REFUSAL_CODES: Readonly<Record<SlotRefusal, ErrorCode>> = {
   'no-chain': 'no-backend-server',
@@ -99,7 +99,11 @@
   const backoffWaits = createBackoffWaits({ clock, delay, backoffs });
   const retryDelays = createRetryDelays({ clock, random: options.random });
 
-  function toRequest(search: SlotSearch, leavesAtMs: number, hasBegun: boolean): SlotRequest {
+  function toRequest(
+    search: SlotSearch,
+    queueDeadlineAtMs: number,
+    hasBegun: boolean,
+  ): SlotRequest {
     const { admitted, model, excludedHeads, ticket } = search;
     const { answer, request, route, organisation, callerAgeMs, service } = admitted;
     const { arrivedAtMs } = request;
@@ -112,20 +116,21 @@
       hasBegun,
       isRetry: callerAgeMs > route.targetLatencyMs,
       arrivedAtMs,
-      inTimeUntilMs: arrivedAtMs - callerAgeMs + route.targetLatencyMs - firstEventMs,
-      leavesAtMs,
+      latestStartAtMs: arrivedAtMs - callerAgeMs + route.targetLatencyMs - firstEventMs,
+      queueDeadlineAtMs,
       excludedHeads,
       rankDataCentres: () => options.rankDataCentres(service),
-      isAbandoned: () => answer.isClosed || search.isUnwanted() || clock.nowMs() >= leavesAtMs,
+      isAbandoned: () =>
+        answer.isClosed || search.isQuarantined() || clock.nowMs() >= queueDeadlineAtMs,
     };
   }
 
   function chooseWithCapacity(
     { admitted, model, excludedHeads }: SlotSearch,
-    isWanted?: (dataCentre: string) => boolean,
+    acceptsDataCentre?: (dataCentre: string) => boolean,
   ): ChosenChain | undefined {
-    const chain = chains.choose(admitted.service, model, excludedHeads, isWanted);
-    return chain?.hasRoom ? chain : undefined;
+    const chain = chains.choose(admitted.service, model, excludedHeads, acceptsDataCentre);
+    return chain?.hasCapacity ? chain : undefined;
   }
 
   /** Chooses a chain in data centres that have engines but no entry VM, and so no allocator. */
@@ -136,7 +141,7 @@
   /** Queues the request on this entry, which chooses a chain from its own knowledge. */
   function findLocally(search: SlotSearch, request: SlotRequest): Promise<ChosenChain | undefined> {
     const { isAbandoned } = request;
-    return queue.enter({ ...request, isAbandoned, find: () => chooseWithCapacity(search) });
+    return queue.enqueue({ ...request, isAbandoned, find: () => chooseWithCapacity(search) });
   }
 
   async function findChain(
@@ -146,7 +151,7 @@
   ): Promise<ChosenChain | undefined> {
     if (outcome.kind === 'granted') return outcome.chain;
     if (outcome.kind === 'unavailable') return findLocally(search, request);
-    const isCancelled = search.admitted.answer.isClosed || search.isUnwanted();
+    const isCancelled = search.admitted.answer.isClosed || search.isQuarantined();
     return isCancelled ? undefined : findUnallocated(search);
   }
 
@@ -157,10 +162,10 @@
   }
 
   function refusalOf({ admitted }: SlotSearch, outcome: SlotOutcome): SpoolplankError {
-    retryDelays.recordFull();
-    const remainingMs = admitted.endsAtMs - clock.nowMs();
+    retryDelays.recordOverload();
+    const remainingMs = admitted.deadlineAtMs - clock.nowMs();
     const turnMs = outcome.kind === 'refused' ? outcome.retryInMs : undefined;
-    const retryAfterMs = turnMs ?? retryDelays.afterMs(remainingMs, forecastMs(outcome));
+    const retryAfterMs = turnMs ?? retryDelays.retryAfterMs(remainingMs, forecastMs(outcome));
     if (outcome.kind !== 'refused')
       return new SpoolplankError('no-backend-server', { retryAfterMs });
     const { reason, ahead, slotsPerS } = outcome;
@@ -177,38 +182,42 @@
   }
 
   return {
-    async toBegin(search) {
+    async findForNew(search) {
       const { admitted } = search;
       const sinceMs = clock.nowMs();
       await backoffWaits.wait(admitted, () => backoffEndsInMs(search, search.excludedHeads));
       const latestMs = admitted.request.arrivedAtMs + MAX_ADMISSION_WAIT_MS;
-      const request = toRequest(search, Math.min(latestMs, admitted.endsAtMs), false);
+      const request = toRequest(search, Math.min(latestMs, admitted.deadlineAtMs), false);
       const outcome = await slots.find(request);
       const chain = await findChain(search, request, outcome);
       if (chain) {
-        if (clock.nowMs() - sinceMs < CHAIN_POLL_MS) retryDelays.recordRoom();
+        if (clock.nowMs() - sinceMs < CHAIN_POLL_MS) retryDelays.recordFreeCapacity();
         return chain;
       }
-      if (admitted.answer.isClosed || search.isUnwanted()) return undefined;
+      if (admitted.answer.isClosed || search.isQuarantined()) return undefined;
       throw refusalOf(search, outcome);
     },
-    async toResume(search, silentSinceMs) {
+    async findForResumed(search, silentSinceMs) {
       const { admitted, model, excludedHeads } = search;
       const endsAtMs = silentSinceMs + MAX_STREAM_PAUSE_MS;
       const outcome = await slots.find(toRequest(search, endsAtMs, true));
       if (outcome.kind === 'granted') return outcome.chain;
       let chain = chains.choose(admitted.service, model, excludedHeads);
-      while (!chain?.hasRoomForBegun && clock.nowMs() < endsAtMs && !admitted.answer.isClosed) {
+      while (
+        !chain?.hasCapacityForResumed &&
+        clock.nowMs() < endsAtMs &&
+        !admitted.answer.isClosed
+      ) {
         await delay(CHAIN_POLL_MS);
         chain = chains.choose(admitted.service, model, excludedHeads);
       }
       return chain;
     },
     retryAfterMs(search) {
-      const { service, endsAtMs } = search.admitted;
-      const backoffMs = backoffEndsInMs(search, NONE_EXCLUDED);
+      const { service, deadlineAtMs } = search.admitted;
+      const backoffMs = backoffEndsInMs(search, NO_EXCLUSIONS);
       if (backoffMs > 0) return backoffs.retryAfterMs(service, backoffMs);
-      return retryDelays.afterMs(endsAtMs - clock.nowMs());
+      return retryDelays.retryAfterMs(deadlineAtMs - clock.nowMs());
     },
   };
 }
--- a/packages/entry/src/slots/slotMessages.ts
+++ b/packages/entry/src/slots/slotMessages.ts
@@ -3,7 +3,7 @@
  * the load of one request on a chain of engines, or to send one request to a plain server; in each
  * data centre one VM grants all slots.
  */
-import type { HoldingsReport, NamedLimit, PathStage } from '@spoolplank/routing';
+import type { HoldingsReport, AdvertisedLimit, PathStage } from '@spoolplank/routing';
 import type { LimitReport } from '../limits/limitAccount';
 
 /** One request that needs a slot. Times are durations relative to the moment of sending. */
@@ -37,7 +37,7 @@
    */
   readonly closedIds?: readonly string[];
   /** Rate limits that servers set in their answers to the asking VM. */
-  readonly limits?: readonly NamedLimit[];
+  readonly limits?: readonly AdvertisedLimit[];
   /** Whether the request is queued if there is no free slot. */
   readonly mayWait: boolean;
   /** How long the allocator may hold back its answer until there is a slot. */
@@ -56,7 +56,7 @@
   readonly givenUp: readonly string[];
   /** Tickets of requests that were sent and ended before any call listed their slots. */
   readonly ended?: readonly string[];
-  /** Statements of the data centre's servers about their limits since the last call. */
+  /** Reports of the data centre's servers about their limits since the last call. */
   readonly limitReports?: readonly LimitReport[];
   readonly ask?: SlotAsk;
 }
--- a/packages/entry/src/slots/slotOutbox.ts
+++ b/packages/entry/src/slots/slotOutbox.ts
@@ -1,6 +1,6 @@
 /**
  * Collects what this VM has to report to the allocator of each data centre with the next call:
- * cancelled and ended tickets, and statements of servers about their rate limits.
+ * cancelled and ended tickets, and reports of servers about their rate limits.
  */
 import type { Clock } from '@spoolplank/shared';
 import { toLimitReport } from '../limits/serverLimits';
@@ -16,15 +16,15 @@
 
 export interface SlotOutbox {
   /** Cancels a ticket whose request was not sent. */
-  giveUp(dataCentre: string, ticket: string): void;
+  cancel(dataCentre: string, ticket: string): void;
   /** Reports a request that ended before its slot was ever listed. */
   end(dataCentre: string, ticket: string): void;
-  /** Reports a server's statement about its limit. */
+  /** Adds a server's report about its limit. */
   report(dataCentre: string, report: PendingReport): void;
   /** Records that the slots held in a data centre changed. */
   recordChange(dataCentre: string): void;
   /** Removes and returns all pending reports for a data centre. */
-  take(dataCentre: string): Pick<SlotCall, 'givenUp' | 'ended' | 'limitReports'>;
+  takePending(dataCentre: string): Pick<SlotCall, 'givenUp' | 'ended' | 'limitReports'>;
 }
 
 /** Reports that are added within this time are sent in one call. */
@@ -63,7 +63,7 @@
   }
 
   return {
-    giveUp(dataCentre, ticket) {
+    cancel(dataCentre, ticket) {
       givenUp.add(dataCentre, ticket);
       recordChange(dataCentre);
     },
@@ -76,7 +76,7 @@
       recordChange(dataCentre);
     },
     recordChange,
-    take(dataCentre) {
+    takePending(dataCentre) {
       changed.delete(dataCentre);
       const endedTickets = ended.take(dataCentre);
       const limitReports = reports
--- a/packages/entry/src/slots/slotPermits.ts
+++ b/packages/entry/src/slots/slotPermits.ts
@@ -26,8 +26,8 @@
 
   return {
     take(holder, ticket, headId) {
-      const limitPerS = limits.perSOf(headId);
-      limits.take(headId);
+      const limitPerS = limits.limitPerSOf(headId);
+      limits.tryAcquire(headId);
       if (pendingServers.size >= MAX_PENDING) pendingServers.clear();
       if (limitPerS !== null) pendingServers.set(keyOf(holder, ticket), headId);
       return limitPerS;
--- a/packages/entry/src/slots/slotService.ts
+++ b/packages/entry/src/slots/slotService.ts
@@ -50,7 +50,7 @@
   /** The data centre of a server; undefined if unknown. */
   readonly dataCentreOf: (instanceId: string) => string | undefined;
   /** Whether this VM has recently exchanged facts with all others. */
-  readonly isSettled: () => boolean;
+  readonly isMembershipComplete: () => boolean;
 }
 
 export interface SlotService {
@@ -68,7 +68,7 @@
   /** Removes expired limits. */
   sweep(): void;
   /** The capacity of this data centre to publish; empty unless this VM is its allocator. */
-  listStatements(): readonly FactUpdate<SystemFact>[];
+  listOutgoingFacts(): readonly FactUpdate<SystemFact>[];
   describe(): JsonValue;
 }
 
@@ -92,12 +92,12 @@
     return view.routes()?.document.services.find(({ name }) => name === service)?.model;
   }
 
-  const isFirst = () => rank.find(dataCentre)?.host === host;
+  const isAllocator = () => rank.find(dataCentre)?.host === host;
   const account = createLimitAccount({
     clock,
     log,
     metrics,
-    isOwner: () => options.isSettled() && rank.findOwner(dataCentre) === host,
+    isOwner: () => options.isMembershipComplete() && rank.findOwner(dataCentre) === host,
     countEntries: options.countEntries,
   });
 
@@ -113,7 +113,7 @@
     limits: account,
     reportedInFlight: (headId) => view.othersInFlight(headId) + streams.countOn(headId),
     firstEventMs: (headId) => streams.firstEventMs(headId),
-    isFirst,
+    isAllocator,
     isConfigured: () => view.routes() !== null,
   });
 
@@ -190,8 +190,8 @@
     findAllocator: (name) => rank.find(name),
     recordReleased: (name, ticket) => client.recordReleased(name, ticket),
     tick: () => client.tick(),
-    listStatements() {
-      if (!isFirst()) return [];
+    listOutgoingFacts() {
+      if (!isAllocator()) return [];
       statementSequence += 1;
       const services = listServices().map((name) => [name, allocator.capacityOf(name)] as const);
       const limitsPerS = listLimitsPerS();
--- a/packages/membership/__tests__/directory.spec.ts
+++ b/packages/membership/__tests__/directory.spec.ts
@@ -45,25 +45,25 @@
     const { clock, registrar } = createFixture();
     registrar.announce(announcement());
     clock.advance(TTL_MS - 1);
-    assert.ok(registrar.findLive('s1'));
+    assert.ok(registrar.findAvailable('s1'));
     clock.advance(1);
-    assert.equal(registrar.findLive('s1'), undefined);
+    assert.equal(registrar.findAvailable('s1'), undefined);
   });
 
   it('does not list a leaving backend server as live', () => {
     const { registrar } = createFixture();
     registrar.announce(announcement());
     registrar.announce(announcement({ sequence: 2, state: 'leaving' }));
-    assert.equal(registrar.findLive('s1'), undefined);
+    assert.equal(registrar.findAvailable('s1'), undefined);
   });
 
   it('does not extend the life of a row by a delayed reply', () => {
     const fixture = createFixture();
     fixture.registrar.announce(announcement());
     pull(fixture, 2500);
-    assert.ok(fixture.entry.findLive('s1'));
+    assert.ok(fixture.entry.findAvailable('s1'));
     fixture.clock.advance(500);
-    assert.equal(fixture.entry.findLive('s1'), undefined, 'the transfer time counts');
+    assert.equal(fixture.entry.findAvailable('s1'), undefined, 'the transfer time counts');
   });
 
   it('expires a row everywhere within its time to live, however often VMs exchange it', () => {
@@ -75,7 +75,7 @@
       registrar.merge(entry.deltaSince('', 0), clock.nowMs());
       clock.advance(100);
     }
-    assert.deepEqual([...registrar.listLive(), ...entry.listLive()], []);
+    assert.deepEqual([...registrar.listAvailable(), ...entry.listAvailable()], []);
   });
 
   it('does not return from leaving to ready on a delayed update of the same incarnation', () => {
@@ -85,17 +85,17 @@
     registrar.announce(announcement({ sequence: 2, state: 'leaving' }));
     entry.merge(registrar.deltaSince('', 0), clock.nowMs());
     entry.merge(old, clock.nowMs());
-    assert.equal(entry.findLive('s1'), undefined);
+    assert.equal(entry.findAvailable('s1'), undefined);
   });
 
   it('accepts a backend server again under the same name with a new incarnation', () => {
     const { registrar } = createFixture();
     registrar.announce(announcement({ sequence: 9, state: 'leaving' }));
     registrar.announce(announcement({ incarnation: 2, sequence: 1 }));
-    assert.ok(registrar.findLive('s1'));
+    assert.ok(registrar.findAvailable('s1'));
     registrar.announce(announcement({ incarnation: 1, sequence: 10 }));
     assert.equal(
-      registrar.findLive('s1')?.announcement.incarnation,
+      registrar.findAvailable('s1')?.announcement.incarnation,
       2,
       'announcements of the old incarnation are ignored',
     );
@@ -112,11 +112,11 @@
     entry.merge(registrar.deltaSince('', 0), clock.nowMs());
     clock.advance(2 * TTL_MS);
     assert.deepEqual(
-      entry.listLive().map((row) => row.announcement.name),
+      entry.listAvailable().map((row) => row.announcement.name),
       ['@vm1'],
     );
     clock.advance(TTL_MS);
-    assert.deepEqual(entry.listLive(), []);
+    assert.deepEqual(entry.listAvailable(), []);
   });
 
   it('sends loads without the body that the other VM already has', () => {
--- a/packages/membership/__tests__/facts.spec.ts
+++ b/packages/membership/__tests__/facts.spec.ts
@@ -165,7 +165,7 @@
       clock,
       table,
       documents,
-      statements: () => [{ key: 'client', sequence: 1, ageMs: 0, body: { text: 'here' } }],
+      outgoingFacts: () => [{ key: 'client', sequence: 1, ageMs: 0, body: { text: 'here' } }],
       async exchange(request) {
         const reply = await source.server.answer(request);
         // The reply takes one second to arrive.
@@ -189,7 +189,7 @@
       clock,
       table: createTable(clock, 'client'),
       documents: createDocumentCache<Document>(clock),
-      statements: () => [],
+      outgoingFacts: () => [],
       exchange({ instance }) {
         instances.push(instance);
         if (instances.length === 2) client.restart();
--- a/packages/membership/examples/leaving.ts
+++ b/packages/membership/examples/leaving.ts
@@ -20,7 +20,7 @@
   };
   const pull = () => entry.merge(registrar.deltaSince('', 0), clock.nowMs());
   const show = (when: string) =>
-    write(`${when}: ${entry.findLive('bookings-1') ? 'takes work' : 'takes none'}`);
+    write(`${when}: ${entry.findAvailable('bookings-1') ? 'takes work' : 'takes none'}`);
   registrar.announce(announcement);
   pull();
   show('announced');
--- a/packages/membership/src/silence.ts
+++ b/packages/membership/src/announcementTimeout.ts
@@ -13,6 +13,6 @@
  * announcements are more frequent than exchanges of facts, the propagation time is the limit:
  * otherwise all backend servers would count as lost between two exchanges.
  */
-export function lostAfterMs(announcementMs: number): number {
+export function announcementTimeoutMs(announcementMs: number): number {
   return Math.max(LOST_INTERVALS * announcementMs, announcementMs + FACT_PROPAGATION_MS);
 }
--- a/packages/membership/src/directory.ts
+++ b/packages/membership/src/directory.ts
@@ -62,8 +62,8 @@
    */
   merge(delta: DirectoryDelta, asOfMs: number): void;
   /** A row that accepts new work; undefined when it is leaving, expired or unknown. */
-  findLive(name: string): DirectoryRow | undefined;
-  listLive(): readonly DirectoryRow[];
+  findAvailable(name: string): DirectoryRow | undefined;
+  listAvailable(): readonly DirectoryRow[];
   listAll(): readonly DirectoryRow[];
   /** Removes rows that expired long ago. */
   sweep(): void;
@@ -105,7 +105,7 @@
     onChange?.(announcement.name);
   }
 
-  function isLive({ announcement, deadlineMs }: DirectoryRow): boolean {
+  function isAvailable({ announcement, deadlineMs }: DirectoryRow): boolean {
     return announcement.state === 'ready' && clock.nowMs() < deadlineMs;
   }
 
@@ -157,11 +157,11 @@
     merge(delta, asOfMs) {
       delta.updates.forEach((update) => mergeUpdate(update, asOfMs));
     },
-    findLive(name) {
+    findAvailable(name) {
       const row = rows.get(name);
-      return row && isLive(row) ? row : undefined;
+      return row && isAvailable(row) ? row : undefined;
     },
-    listLive: () => [...rows.values()].filter(isLive),
+    listAvailable: () => [...rows.values()].filter(isAvailable),
     listAll: () => [...rows.values()],
     sweep() {
       const oldestMs = clock.nowMs() - TOMBSTONE_MS;
--- a/packages/membership/src/feedClient.ts
+++ b/packages/membership/src/feedClient.ts
@@ -13,12 +13,12 @@
   readonly table: FactTable<Body>;
   readonly documents: DocumentCache<Document>;
   /** Facts that this process publishes; evaluated for each exchange. */
-  readonly statements: () => readonly FactUpdate<Body>[];
+  readonly outgoingFacts: () => readonly FactUpdate<Body>[];
   /** Sends a request to the current source; rejects when the source does not answer. */
   readonly exchange: (request: FeedRequest<Body>) => Promise<FeedReply<Body, Document>>;
   readonly delay: (durationMs: number) => Promise<void>;
   /** Whether this process forwards facts to other VMs; the origin of each fact is recorded then. */
-  readonly isPassingOn?: boolean;
+  readonly isRelay?: boolean;
   /** Table instances whose facts are received directly; evaluated for each exchange. */
   readonly exceptOrigins?: () => readonly string[];
   /** How long the source may hold a request. */
@@ -88,7 +88,7 @@
     const isRestarted =
       isConnected === true && sourceIncarnation !== '' && sourceInstance !== sourceIncarnation;
     sourceIncarnation = sourceInstance;
-    table.merge(updates, nowMs, options.isPassingOn ? sourceInstance : undefined);
+    table.merge(updates, nowMs, options.isRelay ? sourceInstance : undefined);
     if (isRestarted) options.onSourceRestart?.();
     if (reply.delta.updates.length) options.onFacts?.();
   }
@@ -96,7 +96,7 @@
   async function exchangeOnce(waitMs: number): Promise<FeedReply<Body, Document>> {
     const sentAtMs = clock.nowMs();
     const reply = await options.exchange({
-      updates: options.statements(),
+      updates: options.outgoingFacts(),
       instance,
       revision,
       documentVersion: documents.current?.version ?? NO_DOCUMENT_VERSION,
--- a/packages/membership/src/systemFacts.ts
+++ b/packages/membership/src/systemFacts.ts
@@ -213,7 +213,7 @@
 };
 
 /** Time in milliseconds after which a fact that is not renewed is removed. */
-export function retentionOf({ kind }: SystemFact): number {
+export function retentionMsOf({ kind }: SystemFact): number {
   return RETENTIONS_MS[kind] ?? RETENTION_MS;
 }
 
@@ -228,7 +228,7 @@
 const LEAVING_VERSION = 1;
 
 /** Publishes that an incarnation accepts no new work; false when this is already known. */
-export function stateLeaving(
+export function publishLeaving(
   table: Pick<FactTable<SystemFact>, 'put'>,
   instanceId: string,
 ): boolean {
--- a/packages/node/__tests__/storage.spec.ts
+++ b/packages/node/__tests__/storage.spec.ts
@@ -14,7 +14,7 @@
 import { after, describe, it } from 'node:test';
 import type { LogEntry, SnapshotMeta } from '@spoolplank/consensus';
 import { createSeededRandom, SpoolplankError } from '@spoolplank/shared';
-import { createFileStorage, decodeRecords, encodeRecord, loadIdentity } from '..';
+import { createFileStorage, decodeRecords, encodeRecord, loadOrCreateReplicaId } from '..';
 
 const folders: string[] = [];
 
@@ -168,15 +168,15 @@
 describe('identity of a data folder', () => {
   it('is kept with the folder, and differs after the folder was lost', async () => {
     const folder = createFolder();
-    const first = await loadIdentity(folder, 'vm1');
-    assert.equal(await loadIdentity(folder, 'vm1'), first);
+    const first = await loadOrCreateReplicaId(folder, 'vm1');
+    assert.equal(await loadOrCreateReplicaId(folder, 'vm1'), first);
     rmSync(folder, { recursive: true });
-    assert.notEqual(await loadIdentity(folder, 'vm1'), first);
+    assert.notEqual(await loadOrCreateReplicaId(folder, 'vm1'), first);
   });
 
   it('is refused when the folder belongs to another VM', async () => {
     const folder = createFolder();
-    await loadIdentity(folder, 'vm1');
-    await assert.rejects(loadIdentity(folder, 'vm2'), { code: 'storage-damaged' });
+    await loadOrCreateReplicaId(folder, 'vm1');
+    await assert.rejects(loadOrCreateReplicaId(folder, 'vm2'), { code: 'storage-damaged' });
   });
 });
--- a/packages/node/src/dataFolder.ts
+++ b/packages/node/src/dataFolder.ts
@@ -52,7 +52,7 @@
 }
 
 /** Reads a file; null when it does not exist. */
-export async function readFileIfAny(path: string): Promise<Buffer | null> {
+export async function readFileIfExists(path: string): Promise<Buffer | null> {
   try {
     return await readFile(path);
   } catch (error) {
@@ -65,7 +65,7 @@
  * Renames a folder to a unique name within its parent, so that its content is no longer used. A
  * folder that does not exist is not an error.
  */
-export async function setAsideFolder(folder: string, name: string): Promise<void> {
+export async function archiveFolder(folder: string, name: string): Promise<void> {
   const parent = dirname(folder);
   try {
     await rename(folder, join(parent, `${name}-${randomUUID().slice(0, 8)}`));
@@ -81,10 +81,10 @@
  * Loads the replica id of a data folder, or creates it on first use. The id is lost with the
  * folder: a VM whose data folder was wiped gets a new one.
  */
-export async function loadIdentity(folder: string, vmId: string): Promise<string> {
+export async function loadOrCreateReplicaId(folder: string, vmId: string): Promise<string> {
   await mkdir(folder, { recursive: true });
   const path = join(folder, IDENTITY_FILE);
-  const stored = await readFileIfAny(path);
+  const stored = await readFileIfExists(path);
   if (stored) {
     const { replicaId, vmId: owner } = JSON.parse(stored.toString('utf8')) as {
       replicaId: string;
@@ -103,7 +103,7 @@
 }
 
 /** Deletes the replica id of a data folder; the next start creates a new one. */
-export async function forgetIdentity(folder: string): Promise<void> {
+export async function deleteReplicaId(folder: string): Promise<void> {
   await rm(join(folder, IDENTITY_FILE), { force: true });
   await syncFolder(folder);
 }
--- a/packages/node/src/fileStorage.ts
+++ b/packages/node/src/fileStorage.ts
@@ -2,7 +2,7 @@
 import { mkdir, open, readdir, rm } from 'node:fs/promises';
 import type { FileHandle } from 'node:fs/promises';
 import { join } from 'node:path';
-import { BLANK_STATE } from '@spoolplank/consensus';
+import { EMPTY_STORED_STATE } from '@spoolplank/consensus';
 import type {
   HardState,
   LogBase,
@@ -13,7 +13,7 @@
   StoredState,
 } from '@spoolplank/consensus';
 import { SpoolplankError } from '@spoolplank/shared';
-import { readFileIfAny, replaceFile, syncFolder, toStorageError } from './dataFolder';
+import { readFileIfExists, replaceFile, syncFolder, toStorageError } from './dataFolder';
 import { decodeRecords, encodeRecord } from './recordFile';
 
 type LogRecord =
@@ -68,7 +68,7 @@
   const { folder, isSynced = true, openLog = (path: string) => open(path, 'a') } = options;
   const logPath = join(folder, LOG_FILE);
   const snapshotPath = join(folder, SNAPSHOT_FILE);
-  const state: MutableState = { ...BLANK_STATE, entries: [] };
+  const state: MutableState = { ...EMPTY_STORED_STATE, entries: [] };
   let handle: FileHandle | null = null;
   let logBytes = 0;
 
@@ -121,7 +121,7 @@
   }
 
   async function readSnapshotRecords(): Promise<readonly string[]> {
-    const bytes = await readFileIfAny(snapshotPath);
+    const bytes = await readFileIfExists(snapshotPath);
     if (!bytes) return [];
     const { payloads } = decodeRecords(bytes, snapshotPath);
     if (payloads.length !== 2) {
@@ -133,7 +133,7 @@
   }
 
   async function loadLog(): Promise<void> {
-    const bytes = await readFileIfAny(logPath);
+    const bytes = await readFileIfExists(logPath);
     if (!bytes) {
       await replaceFile(logPath, '');
       return;
@@ -172,7 +172,7 @@
 
   return {
     async load(): Promise<StoredState> {
-      Object.assign(state, BLANK_STATE, { entries: [] });
+      Object.assign(state, EMPTY_STORED_STATE, { entries: [] });
       await mkdir(folder, { recursive: true });
       const names = await readdir(folder);
       await Promise.all(
--- a/packages/node/src/httpClient.ts
+++ b/packages/node/src/httpClient.ts
@@ -29,7 +29,7 @@
   readonly onConnected?: () => void;
 }
 
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: Buffer;
@@ -56,7 +56,7 @@
  * @throws SpoolplankError `unreachable`; its outcome is `not-run` if no connection was
  * established, else `unknown`.
  */
-export function openCall(options: HttpCallOptions): Promise<IncomingMessage> {
+export function sendHttpRequest(options: HttpCallOptions): Promise<IncomingMessage> {
   const { endpoint, method, path, headers, body, timeoutMs = DEFAULT_TIMEOUT_MS, signal } = options;
   return new Promise((resolve, reject) => {
     let isConnected = false;
@@ -107,8 +107,8 @@
  *
  * @throws SpoolplankError `unreachable`, also when the connection ends before the body is complete.
  */
-export async function callHttp(options: HttpCallOptions): Promise<HttpAnswer> {
-  const response = await openCall(options);
+export async function callHttp(options: HttpCallOptions): Promise<HttpResponse> {
+  const response = await sendHttpRequest(options);
   const chunks: Buffer[] = [];
   try {
     for await (const chunk of response as AsyncIterable<Buffer>) chunks.push(chunk);
@@ -125,14 +125,14 @@
 }
 
 /** A response with a JSON body; `json` is null when the body is empty. */
-export interface JsonAnswer extends Omit<HttpAnswer, 'body'> {
+export interface JsonResponse extends Omit<HttpResponse, 'body'> {
   readonly json: JsonValue;
 }
 
 /** Sends a JSON request and resolves with the parsed response. */
 export async function callJson(
   options: Omit<HttpCallOptions, 'body'> & { readonly json?: unknown },
-): Promise<JsonAnswer> {
+): Promise<JsonResponse> {
   const { json, headers, ...rest } = options;
   const body = json === undefined ? undefined : JSON.stringify(json);
   const answer = await callHttp({
--- a/packages/routing/__tests__/admission.spec.ts
+++ b/packages/routing/__tests__/admission.spec.ts
@@ -52,16 +52,16 @@
       queue.enqueue(() => Promise.resolve(id), { id, organisation, weight, priority });
     ['a1', 'a2', 'a3', 'a4'].forEach((id) => add(id, 'a', 4));
     ['b1', 'b2', 'b3'].forEach((id) => add(id, 'b', 1));
-    assert.equal(queue.findVictim('c', 1, 5), 'b3');
+    assert.equal(queue.selectForEviction('c', 1, 5), 'b3');
     add('b0', 'b', 1, 9);
-    assert.equal(queue.findVictim('c', 1, 5), 'b3', 'the newest of the lowest priority');
+    assert.equal(queue.selectForEviction('c', 1, 5), 'b3', 'the newest of the lowest priority');
     assert.equal(
-      queue.findVictim('b', 1, 5),
+      queue.selectForEviction('b', 1, 5),
       undefined,
       'the lane of the new item would be the longest',
     );
     assert.equal(
-      queue.findVictim('b', 1, 7),
+      queue.selectForEviction('b', 1, 7),
       'b3',
       'it has a higher priority than an item of its own lane',
     );
--- a/packages/routing/__tests__/backoffTable.spec.ts
+++ b/packages/routing/__tests__/backoffTable.spec.ts
@@ -35,7 +35,7 @@
     const { clock, backoffs } = createFixture();
     backoffs.record('e1', 3000);
     clock.suspend(10_000);
-    clock.jumpWall(10_000);
+    clock.stepWallClock(10_000);
     assert.equal(backoffs.remainingMs('e1'), 3000);
   });
 
--- a/packages/routing/__tests__/chainCapacity.spec.ts
+++ b/packages/routing/__tests__/chainCapacity.spec.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { rateCapacities } from '../src/chainCapacity';
+import { computeCapacities } from '../src/chainCapacity';
 import type { CapacityEngine } from '../src/chainCapacity';
 import { requestMemoryMb } from '../src/chainCount';
 import { createModel, createStageEngine } from './fixtures';
@@ -15,7 +15,7 @@
   it('is that of the engine with the least free memory for its stage', () => {
     const engines = [createCapacityEngine('a', 4), createCapacityEngine('b', 6)];
     const stages = [createStageEngine('a', 0, 4), createStageEngine('b', 4, 10)];
-    const [capacity = 0] = rateCapacities([{ stages }], engines, MODEL);
+    const [capacity = 0] = computeCapacities([{ stages }], engines, MODEL);
     const freeMb = 36_000 - 6 * MODEL.layerMb;
     const wanted = freeMb / (requestMemoryMb(MODEL) * 0.6);
     assert.ok(Math.abs(capacity - wanted) < 1e-6, `${capacity} and ${wanted}`);
@@ -24,7 +24,7 @@
   it('does not exceed the slots of its first engine', () => {
     const engines = [createCapacityEngine('a', 4, 7), createCapacityEngine('b', 6)];
     const stages = [createStageEngine('a', 0, 4), createStageEngine('b', 4, 10)];
-    assert.deepEqual(rateCapacities([{ stages }], engines, MODEL), [7]);
+    assert.deepEqual(computeCapacities([{ stages }], engines, MODEL), [7]);
   });
 
   it('counts an engine that two chains share only once', () => {
@@ -33,14 +33,14 @@
       stages: [createStageEngine(head, 0, 5), createStageEngine('c', 5, 10)],
     }));
     assert.ok(first && second);
-    const alone = rateCapacities([first], engines, MODEL)[0] ?? 0;
-    const together = rateCapacities([first, second], engines, MODEL);
+    const alone = computeCapacities([first], engines, MODEL)[0] ?? 0;
+    const together = computeCapacities([first, second], engines, MODEL);
     assert.equal(together[0], alone);
     assert.ok((together[1] ?? 0) < 1e-6);
   });
 
   it('is 0 for a chain with an unknown engine', () => {
     const stages = [createStageEngine('a', 0, 10)];
-    assert.deepEqual(rateCapacities([{ stages }], [], MODEL), [0]);
+    assert.deepEqual(computeCapacities([{ stages }], [], MODEL), [0]);
   });
 });
--- a/packages/routing/__tests__/chainLayout.spec.ts
+++ b/packages/routing/__tests__/chainLayout.spec.ts
@@ -3,7 +3,7 @@
 import { estimateChainSpeed } from '../src/chainSpeed';
 import type { ChainPart } from '../src/chainSpeed';
 import { planPlacement } from '../src/placement';
-import type { PlacedEngine, PlacementOrder } from '../src/placement';
+import type { ObservedEngine, PlacementOrder } from '../src/placement';
 import { createEngines, createModel, repeat } from './fixtures';
 
 const MODEL = createModel();
@@ -12,7 +12,7 @@
 const IN_FLIGHT = 50;
 
 function toParts(
-  engines: readonly PlacedEngine[],
+  engines: readonly ObservedEngine[],
   orders: readonly PlacementOrder[],
 ): readonly ChainPart[] {
   let done = 0;
@@ -69,17 +69,17 @@
   });
 
   it('gives a returning engine the layers that it runs faster than their current holders', () => {
-    const held = engines.map((engine): PlacedEngine => {
+    const held = engines.map((engine): ObservedEngine => {
       const order = orders.find(({ id }) => id === engine.id);
       return { ...engine, firstLayer: order?.firstLayer ?? 0, endLayer: order?.endLayer ?? 0 };
     });
     const without = held.slice(1);
     const repairs = planPlacement(without, MODEL);
-    const repaired = without.map((engine): PlacedEngine => {
+    const repaired = without.map((engine): ObservedEngine => {
       const order = repairs.find(({ id }) => id === engine.id);
       return order ? { ...engine, ...order } : engine;
     });
-    const back = { ...held[0], id: 'back', firstLayer: null, endLayer: null } as PlacedEngine;
+    const back = { ...held[0], id: 'back', firstLayer: null, endLayer: null } as ObservedEngine;
     const [order] = planPlacement([...repaired, back], MODEL);
     assert.equal(order?.id, 'back');
     assert.ok((order?.endLayer ?? 0) - (order?.firstLayer ?? 0) > 10);
--- a/packages/routing/__tests__/crashJudgement.spec.ts
+++ b/packages/routing/__tests__/crashJudgement.spec.ts
@@ -1,14 +1,17 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createSeededRandom } from '@spoolplank/shared';
-import { judgeCrashes } from '../src/crashJudgement';
-import type { ServerEnd } from '../src/crashJudgement';
+import { findPoisonContents } from '../src/crashJudgement';
+import type { CrashInvolvement } from '../src/crashJudgement';
 
-function createEnd(content: string, instanceId: string, ranMs = 100): ServerEnd {
+function createEnd(content: string, instanceId: string, ranMs = 100): CrashInvolvement {
   return { content, instanceId, ranMs, evidence: 'run' };
 }
 
-function createAttempts(content: string, instanceIds: readonly string[]): readonly ServerEnd[] {
+function createAttempts(
+  content: string,
+  instanceIds: readonly string[],
+): readonly CrashInvolvement[] {
   return instanceIds.map((instanceId) => ({ content, instanceId, ranMs: 0, evidence: 'attempt' }));
 }
 
@@ -19,12 +22,12 @@
 
 describe('a content that servers crash with', () => {
   it('is quarantined after three crashes, but not after two', () => {
-    assert.deepEqual([...judgeCrashes(createEnds('a', ['s1', 's2']))], []);
-    assert.deepEqual([...judgeCrashes(createEnds('a', ['s1', 's2', 's3']))], ['a']);
+    assert.deepEqual([...findPoisonContents(createEnds('a', ['s1', 's2']))], []);
+    assert.deepEqual([...findPoisonContents(createEnds('a', ['s1', 's2', 's3']))], ['a']);
   });
 
   it('counts the crash of one incarnation once, even with several copies on it', () => {
-    assert.deepEqual([...judgeCrashes(createEnds('a', ['s1', 's1', 's2', 's2']))], []);
+    assert.deepEqual([...findPoisonContents(createEnds('a', ['s1', 's1', 's2', 's2']))], []);
   });
 
   it('clears other contents on the same servers, even with three crashes', () => {
@@ -32,13 +35,13 @@
       ...createEnds('deadly', ['s1', 's2', 's3', 's4', 's5']),
       ...createEnds('unlucky', ['s1', 's3', 's5']),
     ];
-    assert.deepEqual([...judgeCrashes(ends)], ['deadly']);
+    assert.deepEqual([...findPoisonContents(ends)], ['deadly']);
   });
 
   it('is identified by the shorter run time among contents with the same crashes', () => {
     const ids = ['s1', 's2', 's3'];
     const ends = [...createEnds('unlucky', ids, 900), ...createEnds('deadly', ids, 80)];
-    assert.deepEqual([...judgeCrashes(ends)], ['deadly']);
+    assert.deepEqual([...findPoisonContents(ends)], ['deadly']);
   });
 
   it('is identified independently of another content that crashes other servers', () => {
@@ -46,21 +49,21 @@
       ...createEnds('a', ['s1', 's2', 's3']),
       ...createEnds('b', ['s3', 's4', 's5', 's6']),
     ];
-    assert.deepEqual([...judgeCrashes(ends)], ['b']);
+    assert.deepEqual([...findPoisonContents(ends)], ['b']);
     const more = [...ends, createEnd('a', 's7')];
-    assert.deepEqual([...judgeCrashes(more)].sort(), ['a', 'b']);
+    assert.deepEqual([...findPoisonContents(more)].sort(), ['a', 'b']);
   });
 
   it('is quarantined after two crashes while running and one during an attempt', () => {
     const ends = createEnds('a', ['s1', 's2']);
-    assert.deepEqual([...judgeCrashes([...ends, ...createAttempts('a', ['s2'])])], []);
-    assert.deepEqual([...judgeCrashes([...ends, ...createAttempts('a', ['s3'])])], ['a']);
+    assert.deepEqual([...findPoisonContents([...ends, ...createAttempts('a', ['s2'])])], []);
+    assert.deepEqual([...findPoisonContents([...ends, ...createAttempts('a', ['s3'])])], ['a']);
   });
 
   it('is not quarantined because of attempts alone', () => {
     const attempts = createAttempts('a', ['s1', 's2', 's3', 's4', 's5']);
-    assert.deepEqual([...judgeCrashes(attempts)], []);
-    assert.deepEqual([...judgeCrashes([...attempts, createEnd('a', 's1')])], []);
+    assert.deepEqual([...findPoisonContents(attempts)], []);
+    assert.deepEqual([...findPoisonContents([...attempts, createEnd('a', 's1')])], []);
   });
 
   it('ranks before a content with more crashes, most of them during attempts', () => {
@@ -69,7 +72,7 @@
       ...createEnds('unlucky', ['s1', 's2']),
       ...createAttempts('unlucky', ['s3', 's4']),
     ];
-    assert.deepEqual([...judgeCrashes(ends)], ['deadly']);
+    assert.deepEqual([...findPoisonContents(ends)], ['deadly']);
   });
 
   it('is identified regardless of the order in which crashes are received', () => {
@@ -84,7 +87,7 @@
         .map((end) => ({ end, at: random.nextFloat() }))
         .sort((a, b) => a.at - b.at)
         .map(({ end }) => end);
-      assert.deepEqual([...judgeCrashes(shuffled)], ['deadly']);
+      assert.deepEqual([...findPoisonContents(shuffled)], ['deadly']);
     }
   });
 
@@ -97,13 +100,13 @@
     const maxRuns = 4;
     let refused = 0;
     for (let day = 0; day < 1000; day += 1) {
-      const ends: ServerEnd[] = [];
+      const ends: CrashInvolvement[] = [];
       for (let request = 0; request < 300; request += 1) {
         for (let run = 0; run < maxRuns && random.nextInt(oneInChance) === 0; run += 1) {
           ends.push(createEnd(`r${request}`, `s${random.nextInt(1000)}`, random.nextInt(120)));
         }
       }
-      refused += judgeCrashes(ends).size;
+      refused += findPoisonContents(ends).size;
     }
     assert.equal(refused, 0);
   });
--- a/packages/routing/__tests__/fixtures.ts
+++ b/packages/routing/__tests__/fixtures.ts
@@ -1,5 +1,5 @@
 /** A model of production size, and engines for it. */
-import type { PlacedEngine } from '../src/placement';
+import type { ObservedEngine } from '../src/placement';
 import type { ModelDescription } from '../src/routingDocument';
 import type { StageEngine } from '../src/stagePath';
 
@@ -27,7 +27,7 @@
   };
 }
 
-export function createEngines(kinds: readonly string[], dataCentre = 'lafrenz'): PlacedEngine[] {
+export function createEngines(kinds: readonly string[], dataCentre = 'lafrenz'): ObservedEngine[] {
   return kinds.map((acceleratorKind, index) => ({
     id: `${dataCentre}-${index}`,
     dataCentre,
--- a/packages/routing/__tests__/placement.spec.ts
+++ b/packages/routing/__tests__/placement.spec.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { planPlacement } from '../src/placement';
-import type { PlacedEngine, PlacementOrder } from '../src/placement';
+import type { ObservedEngine, PlacementOrder } from '../src/placement';
 import { createEngines, createModel, repeat } from './fixtures';
 
 const MODEL = createModel();
@@ -10,7 +10,7 @@
 const KINDS_WITH_LARGE = ['large', 'medium', ...repeat('small', 5), ...repeat('tiny', 7)];
 const KINDS_WITHOUT_LARGE = ['medium', ...repeat('small', 8), ...repeat('tiny', 3)];
 
-function applyOrders(engines: readonly PlacedEngine[], orders: readonly PlacementOrder[]) {
+function applyOrders(engines: readonly ObservedEngine[], orders: readonly PlacementOrder[]) {
   return engines.map((engine) => {
     const order = orders.find(({ id }) => id === engine.id);
     return order ? { ...engine, firstLayer: order.firstLayer, endLayer: order.endLayer } : engine;
@@ -18,7 +18,7 @@
 }
 
 /** Layers without an available copy: the layers of a slow or leaving engine do not count. */
-function findMissingLayers(engines: readonly PlacedEngine[]): readonly number[] {
+function findMissingLayers(engines: readonly ObservedEngine[]): readonly number[] {
   return Array.from({ length: MODEL.layers }, (_, layer) => layer).filter(
     (layer) =>
       !engines.some(
@@ -32,7 +32,7 @@
   );
 }
 
-function assertFits(engines: readonly PlacedEngine[]): void {
+function assertFits(engines: readonly ObservedEngine[]): void {
   engines.forEach(({ firstLayer, endLayer, acceleratorKind }) => {
     const kind = MODEL.kinds.find(({ name }) => name === acceleratorKind);
     const layers = (endLayer ?? 0) - (firstLayer ?? 0);
@@ -40,7 +40,7 @@
   });
 }
 
-function createPlacedEngines(kinds: readonly string[]): PlacedEngine[] {
+function createPlacedEngines(kinds: readonly string[]): ObservedEngine[] {
   const engines = createEngines(kinds);
   return applyOrders(engines, planPlacement(engines, MODEL));
 }
--- a/packages/routing/__tests__/queueOrder.spec.ts
+++ b/packages/routing/__tests__/queueOrder.spec.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { compareQueued, isHopeless } from '../src/queueOrder';
+import { compareQueued, willMissQueueDeadline } from '../src/queueOrder';
 import type { QueuedRequest } from '../src/queueOrder';
 
 const NOW_MS = 10_000;
@@ -9,15 +9,15 @@
   return {
     priority: 1,
     arrivedAtMs: NOW_MS,
-    inTimeUntilMs: NOW_MS + 350,
-    leavesAtMs: NOW_MS + 1200,
+    latestStartAtMs: NOW_MS + 350,
+    queueDeadlineAtMs: NOW_MS + 1200,
     isRetry: false,
     ...overrides,
   };
 }
 
-const LATE = createQueued({ arrivedAtMs: NOW_MS - 600, inTimeUntilMs: NOW_MS - 250 });
-const RETURNED = createQueued({ inTimeUntilMs: NOW_MS - 2000, isRetry: true });
+const LATE = createQueued({ arrivedAtMs: NOW_MS - 600, latestStartAtMs: NOW_MS - 250 });
+const RETURNED = createQueued({ latestStartAtMs: NOW_MS - 2000, isRetry: true });
 const isFirst = (a: QueuedRequest, b: QueuedRequest) => compareQueued(a, b, NOW_MS) < 0;
 
 describe('the next slot', () => {
@@ -31,12 +31,12 @@
   });
 
   it('goes first to a retry that is about to leave the queue', () => {
-    const leaving = createQueued({ ...RETURNED, leavesAtMs: NOW_MS + 200 });
+    const leaving = createQueued({ ...RETURNED, queueDeadlineAtMs: NOW_MS + 200 });
     assert.ok(isFirst(leaving, createQueued()));
   });
 
   it('goes to the request with the least time left among those that can be in time', () => {
-    assert.ok(isFirst(createQueued({ inTimeUntilMs: NOW_MS + 100 }), createQueued()));
+    assert.ok(isFirst(createQueued({ latestStartAtMs: NOW_MS + 100 }), createQueued()));
   });
 
   it('goes to the request of higher priority regardless of its class', () => {
@@ -51,14 +51,18 @@
       let inTime = 0;
       for (let ms = 0; ms < 6000; ms += 1) {
         if (ms < 3000 && Math.floor((ms * 90) / 1000) > Math.floor(((ms - 1) * 90) / 1000)) {
-          const times = { arrivedAtMs: ms, inTimeUntilMs: ms + 350, leavesAtMs: ms + 1200 };
+          const times = {
+            arrivedAtMs: ms,
+            latestStartAtMs: ms + 350,
+            queueDeadlineAtMs: ms + 1200,
+          };
           queue.push(createQueued(times));
         }
-        queue = queue.filter(({ leavesAtMs }) => leavesAtMs > ms);
+        queue = queue.filter(({ queueDeadlineAtMs }) => queueDeadlineAtMs > ms);
         if (Math.floor((ms * 60) / 1000) > Math.floor(((ms - 1) * 60) / 1000)) {
           queue.sort((a, b) => order(a, b, ms));
           const served = queue.shift();
-          if (served && served.inTimeUntilMs >= ms) inTime += 1;
+          if (served && served.latestStartAtMs >= ms) inTime += 1;
         }
       }
       return inTime;
@@ -71,19 +75,19 @@
 
 describe('a wait', () => {
   it('is hopeless when the requests ahead take longer than the remaining time', () => {
-    assert.equal(isHopeless({ ahead: 11, slotsPerS: 10, remainingMs: 1000 }), true);
-    assert.equal(isHopeless({ ahead: 8, slotsPerS: 10, remainingMs: 1000 }), false);
+    assert.equal(willMissQueueDeadline({ ahead: 11, slotsPerS: 10, remainingMs: 1000 }), true);
+    assert.equal(willMissQueueDeadline({ ahead: 8, slotsPerS: 10, remainingMs: 1000 }), false);
   });
 
   it('is never hopeless without a known slot rate, as a chain may come back', () => {
-    assert.equal(isHopeless({ ahead: 30, slotsPerS: 0, remainingMs: 1000 }), false);
+    assert.equal(willMissQueueDeadline({ ahead: 30, slotsPerS: 0, remainingMs: 1000 }), false);
   });
 
   it('is judged by a rate limit however low it is, as a limit is known exactly', () => {
     const forecast = { ahead: 0, slotsPerS: 0, remainingMs: 1000 };
-    assert.equal(isHopeless({ ...forecast, limitedPerS: 0.5 }), true);
-    assert.equal(isHopeless({ ...forecast, limitedPerS: 2 }), false);
-    assert.equal(isHopeless({ ...forecast, ahead: 2, limitedPerS: 2 }), true);
-    assert.equal(isHopeless({ ...forecast, limitedPerS: null }), false);
+    assert.equal(willMissQueueDeadline({ ...forecast, limitedPerS: 0.5 }), true);
+    assert.equal(willMissQueueDeadline({ ...forecast, limitedPerS: 2 }), false);
+    assert.equal(willMissQueueDeadline({ ...forecast, ahead: 2, limitedPerS: 2 }), true);
+    assert.equal(willMissQueueDeadline({ ...forecast, limitedPerS: null }), false);
   });
 });
--- a/packages/routing/__tests__/slotLedger.spec.ts
+++ b/packages/routing/__tests__/slotLedger.spec.ts
@@ -16,8 +16,8 @@
     const { ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
     ledger.grant('vm2', slot('r1', 2.5));
-    assert.equal(ledger.heldOn('h'), 3.5);
-    assert.equal(ledger.heldOn('other'), 0);
+    assert.equal(ledger.heldSizeOf('h'), 3.5);
+    assert.equal(ledger.heldSizeOf('other'), 0);
   });
 
   it('frees a slot that its holder no longer lists', () => {
@@ -26,7 +26,7 @@
     ledger.grant('vm1', slot('r2'));
     ledger.report('vm1', { sequence: 1, slots: [slot('r1'), slot('r2')] });
     ledger.report('vm1', { sequence: 2, slots: [slot('r2')] });
-    assert.equal(ledger.heldOn('h'), 1);
+    assert.equal(ledger.heldSizeOf('h'), 1);
   });
 
   it('keeps a slot that was granted while an older report was in transit', () => {
@@ -34,7 +34,7 @@
     ledger.grant('vm1', slot('r1'));
     clock.advance(5);
     ledger.report('vm1', { sequence: 1, slots: [] });
-    assert.equal(ledger.heldOn('h'), 1);
+    assert.equal(ledger.heldSizeOf('h'), 1);
   });
 
   it('frees a slot when the answer with its grant was lost', () => {
@@ -43,30 +43,30 @@
     clock.advance(501);
     ledger.report('vm1', { sequence: 1, slots: [] });
     clock.advance(101);
-    assert.equal(ledger.heldOn('h'), 0);
+    assert.equal(ledger.heldSizeOf('h'), 0);
   });
 
   it('frees a slot immediately when its holder releases it', () => {
     const { ledger, slot } = createFixture();
     ledger.grant('vm1', slot('r1'));
-    ledger.giveUp('vm1', 'r1');
-    ledger.giveUp('vm1', 'unknown');
-    ledger.giveUp('nobody', 'r1');
-    assert.equal(ledger.heldOn('h'), 0);
+    ledger.cancel('vm1', 'r1');
+    ledger.cancel('vm1', 'unknown');
+    ledger.cancel('nobody', 'r1');
+    assert.equal(ledger.heldSizeOf('h'), 0);
   });
 
   it('uses the newest report, regardless of the order of arrival', () => {
     const { ledger, slot } = createFixture();
     ledger.report('vm1', { sequence: 2, slots: [] });
     ledger.report('vm1', { sequence: 1, slots: [slot('r1')] });
-    assert.equal(ledger.heldOn('h'), 0);
+    assert.equal(ledger.heldSizeOf('h'), 0);
   });
 
   it('learns earlier slots from the first report of a holder', () => {
     const { ledger, slot } = createFixture();
     ledger.report('vm1', { sequence: 9, slots: [slot('r1'), slot('r2')] });
     ledger.report('vm2', { sequence: 3, slots: [slot('r1')] });
-    assert.equal(ledger.heldOn('h'), 3);
+    assert.equal(ledger.heldSizeOf('h'), 3);
     assert.equal(ledger.holders, 2);
   });
 
@@ -75,11 +75,11 @@
     for (let vm = 0; vm < 60; vm += 1) {
       ledger.report(`vm${vm}`, { sequence: 1, slots: [slot('r1')] });
     }
-    assert.equal(ledger.heldOn('h'), 60);
+    assert.equal(ledger.heldSizeOf('h'), 60);
     clock.advance(2500);
-    assert.equal(ledger.heldOn('h'), 60);
+    assert.equal(ledger.heldSizeOf('h'), 60);
     clock.advance(200);
-    assert.equal(ledger.heldOn('h'), 0);
+    assert.equal(ledger.heldSizeOf('h'), 0);
     assert.equal(ledger.holders, 0);
   });
 });
--- a/packages/routing/__tests__/unseenLoad.spec.ts
+++ b/packages/routing/__tests__/unseenLoad.spec.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createManualClock } from '@spoolplank/shared';
-import { createUnseenLoad } from '../src/unseenLoad';
+import { createUnreportedLoad } from '../src/unseenLoad';
 
 const PEERS = 8;
 const CAPACITY = 134;
 
 function createEstimate() {
   const clock = createManualClock();
-  const unseen = createUnseenLoad({ clock, windowMs: 1600 });
+  const unseen = createUnreportedLoad({ clock, windowMs: 1600 });
   const begin = (count: number) => {
     for (let each = 0; each < count; each += 1) unseen.record('head', 1);
   };
--- a/packages/routing/__tests__/wholeChains.spec.ts
+++ b/packages/routing/__tests__/wholeChains.spec.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { planPlacement } from '../src/placement';
-import type { PlacedEngine, PlacementOrder } from '../src/placement';
+import type { ObservedEngine, PlacementOrder } from '../src/placement';
 import { findStagePath } from '../src/stagePath';
 import { createEngines, createModel, repeat } from './fixtures';
 
@@ -17,20 +17,20 @@
   one: ['large', ...repeat('medium', 2), ...repeat('small', 5), ...repeat('tiny', 7)],
 };
 
-function carryOut(engines: readonly PlacedEngine[], orders: readonly PlacementOrder[]) {
+function carryOut(engines: readonly ObservedEngine[], orders: readonly PlacementOrder[]) {
   return engines.map((engine) => {
     const order = orders.find(({ id }) => id === engine.id);
     return order ? { ...engine, firstLayer: order.firstLayer, endLayer: order.endLayer } : engine;
   });
 }
 
-function layOut(kinds: readonly string[]): readonly PlacedEngine[] {
+function layOut(kinds: readonly string[]): readonly ObservedEngine[] {
   const engines = createEngines(kinds);
   return carryOut(engines, planPlacement(engines, MODEL));
 }
 
 /** Chains that share no engine. */
-function countChains(engines: readonly PlacedEngine[]): number {
+function countChains(engines: readonly ObservedEngine[]): number {
   let stages = engines.flatMap(({ id, firstLayer, endLayer }) =>
     firstLayer === null || endLayer === null
       ? []
@@ -60,18 +60,18 @@
       assert.ok(lost);
       // With a single chain the lost layers have no other copy, so they are restored at once.
       if (countChains(engines) === 1) return;
-      const mayMove = () => false;
+      const mayMoveLayers = () => false;
       const remaining = engines.filter(({ id }) => id !== lost.id);
       const holding = new Set(
         remaining.filter(({ firstLayer }) => firstLayer !== null).map(({ id }) => id),
       );
-      planPlacement(remaining, MODEL, { mayMove, mayImprove: () => false }).forEach(({ id }) =>
-        assert.ok(!holding.has(id), id),
+      planPlacement(remaining, MODEL, { mayMoveLayers, mayRebalance: () => false }).forEach(
+        ({ id }) => assert.ok(!holding.has(id), id),
       );
       const back = { ...lost, id: `${lost.id}-back`, firstLayer: null, endLayer: null };
       const orders = planPlacement([...remaining, back], MODEL, {
-        mayMove,
-        mayImprove: () => false,
+        mayMoveLayers,
+        mayRebalance: () => false,
       });
       orders.forEach(({ id }) => assert.ok(!holding.has(id), id));
       if (countChains(remaining) < countChains(engines)) {
--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -40,7 +40,7 @@
    */
   findFull(branches: readonly AdmissionBranch[]): AdmissionBranch | undefined;
   /** Whether every branch has capacity for another running request. */
-  hasRoom(branches: readonly AdmissionBranch[]): boolean;
+  hasCapacity(branches: readonly AdmissionBranch[]): boolean;
   counts(): readonly AdmissionCounts[];
   /** Records the duration of a request, from which the drain rate of the queue is estimated. */
   observeDuration(durationMs: number): void;
@@ -115,7 +115,7 @@
       };
     },
     findFull: (branches) => branches.find(isFull),
-    hasRoom: (branches) =>
+    hasCapacity: (branches) =>
       branches.every(({ pointer, policy }) => countOf(pointer).running < policy.maxInFlight),
     counts: () =>
       [...counts].map(([pointer, { running, waiting }]) => ({ pointer, running, waiting })),
--- a/packages/routing/src/backendFit.ts
+++ b/packages/routing/src/backendFit.ts
@@ -2,7 +2,7 @@
 import type { RoutingDocument } from './routingDocument';
 
 /** The announced properties that are checked against the document. */
-export interface StatedBackend {
+export interface AnnouncedBackend {
   readonly service: string;
   readonly engine?: {
     readonly acceleratorKind: string;
@@ -11,7 +11,10 @@
 }
 
 /** Returns why an announcement contradicts the document; null when it is consistent. */
-export function findMisfit(stated: StatedBackend, document: RoutingDocument): string | null {
+export function findDocumentConflict(
+  stated: AnnouncedBackend,
+  document: RoutingDocument,
+): string | null {
   const service = document.services.find(({ name }) => name === stated.service);
   if (!service) return 'its service is not in the document';
   const { model } = service;
--- a/packages/routing/src/chainCapacity.ts
+++ b/packages/routing/src/chainCapacity.ts
@@ -32,7 +32,7 @@
  * with an earlier one gets only the capacity that the earlier one leaves there, so that the sum
  * over all chains never exceeds what the engines can hold.
  */
-export function rateCapacities(
+export function computeCapacities(
   chains: readonly StageChain[],
   engines: readonly CapacityEngine[],
   model: ModelDescription,
--- a/packages/routing/src/crashJudgement.ts
+++ b/packages/routing/src/crashJudgement.ts
@@ -10,7 +10,7 @@
 /**
  * A crash of one incarnation of a backend server, and one content that it ran or was being sent.
  */
-export interface ServerEnd {
+export interface CrashInvolvement {
   readonly content: string;
   /** Identifies the incarnation of the server. */
   readonly instanceId: string;
@@ -25,51 +25,51 @@
  * one engine is immediately sent to another one, which may be lost too. Every additional crash
  * costs a chain its first engine.
  */
-export const QUARANTINE_ENDS = 3;
+export const QUARANTINE_CRASHES = 3;
 /**
  * Number of the crashed servers that must have started to run the content. Several attempts are in
  * progress at every crash by chance, so attempts alone are not sufficient evidence.
  */
-const MIN_BEGUN_ENDS = 2;
+const MIN_RUN_CRASHES = 2;
 
 interface Suspect {
   readonly content: string;
   readonly instanceIds: ReadonlySet<string>;
   /** The subset of `instanceIds` that had started to run the content. */
-  readonly begunIds: ReadonlySet<string>;
-  /** Mean time that the content had run on the servers in `begunIds`. */
+  readonly ranOnIds: ReadonlySet<string>;
+  /** Mean time that the content had run on the servers in `ranOnIds`. */
   readonly meanRanMs: number;
 }
 
 /** Number of crashes of a suspect that no quarantined content explains. */
 interface UnexplainedCounts {
   readonly suspect: Suspect;
-  readonly allEnds: number;
-  readonly begunEnds: number;
+  readonly crashes: number;
+  readonly runCrashes: number;
 }
 
-function listSuspects(ends: readonly ServerEnd[]): readonly Suspect[] {
-  const byContent = new Map<string, ServerEnd[]>();
-  ends.forEach((end) => {
-    const known = byContent.get(end.content);
-    if (known) known.push(end);
-    else byContent.set(end.content, [end]);
+function listSuspects(involvements: readonly CrashInvolvement[]): readonly Suspect[] {
+  const byContent = new Map<string, CrashInvolvement[]>();
+  involvements.forEach((involvement) => {
+    const known = byContent.get(involvement.content);
+    if (known) known.push(involvement);
+    else byContent.set(involvement.content, [involvement]);
   });
-  return [...byContent].map(([content, contentEnds]) => {
-    const begun = contentEnds.filter(({ evidence }) => evidence === 'run');
+  return [...byContent].map(([content, ofContent]) => {
+    const runs = ofContent.filter(({ evidence }) => evidence === 'run');
     return {
       content,
-      instanceIds: new Set(contentEnds.map(({ instanceId }) => instanceId)),
-      begunIds: new Set(begun.map(({ instanceId }) => instanceId)),
-      meanRanMs: begun.reduce((sum, { ranMs }) => sum + ranMs, 0) / Math.max(1, begun.length),
+      instanceIds: new Set(ofContent.map(({ instanceId }) => instanceId)),
+      ranOnIds: new Set(runs.map(({ instanceId }) => instanceId)),
+      meanRanMs: runs.reduce((sum, { ranMs }) => sum + ranMs, 0) / Math.max(1, runs.length),
     };
   });
 }
 
 /** Whether `a` is the likelier cause: it has more crashes or, if equal, ran for less time. */
 function isLikelier(a: UnexplainedCounts, b: UnexplainedCounts): boolean {
-  if (a.begunEnds !== b.begunEnds) return a.begunEnds > b.begunEnds;
-  if (a.allEnds !== b.allEnds) return a.allEnds > b.allEnds;
+  if (a.runCrashes !== b.runCrashes) return a.runCrashes > b.runCrashes;
+  if (a.crashes !== b.crashes) return a.crashes > b.crashes;
   const [suspectA, suspectB] = [a.suspect, b.suspect];
   if (suspectA.meanRanMs !== suspectB.meanRanMs) return suspectA.meanRanMs < suspectB.meanRanMs;
   return suspectA.content < suspectB.content;
@@ -85,8 +85,8 @@
  * Source: the greedy algorithm for set cover, Chvatal, "A greedy heuristic for the set-covering
  * problem", Mathematics of Operations Research, 1979.
  */
-export function judgeCrashes(ends: readonly ServerEnd[]): ReadonlySet<string> {
-  const suspects = listSuspects(ends);
+export function findPoisonContents(involvements: readonly CrashInvolvement[]): ReadonlySet<string> {
+  const suspects = listSuspects(involvements);
   const explained = new Set<string>();
   const quarantined = new Set<string>();
   const countUnexplained = (ids: ReadonlySet<string>) =>
@@ -97,10 +97,12 @@
       .filter(({ content }) => !quarantined.has(content))
       .map((suspect): UnexplainedCounts => ({
         suspect,
-        allEnds: countUnexplained(suspect.instanceIds),
-        begunEnds: countUnexplained(suspect.begunIds),
+        crashes: countUnexplained(suspect.instanceIds),
+        runCrashes: countUnexplained(suspect.ranOnIds),
       }))
-      .filter(({ allEnds, begunEnds }) => allEnds >= QUARANTINE_ENDS && begunEnds >= MIN_BEGUN_ENDS)
+      .filter(
+        ({ crashes, runCrashes }) => crashes >= QUARANTINE_CRASHES && runCrashes >= MIN_RUN_CRASHES,
+      )
       .reduce<UnexplainedCounts | undefined>(
         (best, next) => (best && !isLikelier(next, best) ? best : next),
         undefined,
--- a/packages/routing/src/fairQueue.ts
+++ b/packages/routing/src/fairQueue.ts
@@ -43,7 +43,7 @@
 export class FairQueue implements Queue<RunFunction, FairQueueOptions> {
   readonly #lanes = new Map<string, Lane>();
 
-  readonly #hasRoom: HasCapacity;
+  readonly #hasCapacity: HasCapacity;
 
   #virtualTime = 0;
 
@@ -51,8 +51,8 @@
 
   #order = 0;
 
-  constructor(hasRoom: HasCapacity = () => true) {
-    this.#hasRoom = hasRoom;
+  constructor(hasCapacity: HasCapacity = () => true) {
+    this.#hasCapacity = hasCapacity;
   }
 
   /**
@@ -107,7 +107,7 @@
    * longer than the lane of the new item would be; otherwise an item of a lower priority in the
    * lane of the new item. Undefined when the new item itself must be refused.
    */
-  findVictim(organisation: string, weight: number, priority: number): string | undefined {
+  selectForEviction(organisation: string, weight: number, priority: number): string | undefined {
     let longest: Lane | undefined;
     let longestShare = (this.waitingOf(organisation) + 1) / weight;
     this.#lanes.forEach((lane) => {
@@ -165,7 +165,7 @@
     for (const entry of this.#lanes) {
       const [organisation, lane] = entry;
       const isEarlier = !best || lane.startTag < best[1].startTag;
-      if (lane.items.length > 0 && isEarlier && this.#hasRoom(organisation)) best = entry;
+      if (lane.items.length > 0 && isEarlier && this.#hasCapacity(organisation)) best = entry;
     }
     return best;
   }
@@ -182,12 +182,12 @@
 
 /** Creates the class that `p-queue` instantiates, bound to the given capacity check. */
 export function createFairQueueClass(
-  hasRoom: HasCapacity,
+  hasCapacity: HasCapacity,
   onCreate: (queue: FairQueue) => void = () => {},
 ): new () => FairQueue {
   return class extends FairQueue {
     constructor() {
-      super(hasRoom);
+      super(hasCapacity);
       onCreate(this);
     }
   };
--- a/packages/routing/src/holeFilling.ts
+++ b/packages/routing/src/holeFilling.ts
@@ -1,4 +1,4 @@
-/** Fills a hole, a range of layers that no engine of a data centre holds, with the fewest loads. */
+/** Fills a gap, a range of layers that no engine of a data centre holds, with the fewest loads. */
 import {
   countCopies,
   hasMemoryFor,
@@ -11,7 +11,7 @@
 import type { ModelDescription } from './routingDocument';
 
 /** Finds the first range of layers without a copy. */
-export function findHole(copies: readonly number[]): Range | undefined {
+export function findLayerGap(copies: readonly number[]): Range | undefined {
   const first = copies.indexOf(0);
   if (first < 0) return undefined;
   const next = copies.findIndex((count, layer) => layer > first && count > 0);
@@ -26,10 +26,10 @@
 const countPlannedLayers = ({ planned }: PlannedEngine): number =>
   planned ? lengthOf(planned) : 0;
 
-/** Assigns a hole to an engine whose own layers are redundant. */
+/** Assigns a gap to an engine whose own layers are redundant. */
 export function fillWithSpare(
   engines: readonly PlannedEngine[],
-  hole: Range,
+  gap: Range,
   model: ModelDescription,
 ): boolean {
   const copies = countCopies(engines, model.layers);
@@ -45,11 +45,11 @@
     1,
     Math.floor(spare.memoryMb / (model.layerMb * GOOD_MEMORY_PER_LAYER)),
   );
-  spare.planned = { first: hole.first, end: Math.min(hole.end, hole.first + maxLayers) };
+  spare.planned = { first: gap.first, end: Math.min(gap.end, gap.first + maxLayers) };
   return true;
 }
 
-/** Engines with consecutive ranges on one side of a hole, the nearest first. */
+/** Engines with consecutive ranges on one side of a gap, the nearest first. */
 function listNeighbours(
   engines: readonly PlannedEngine[],
   holeEdge: number,
@@ -78,7 +78,7 @@
  * Finds the largest memory per layer, in MB, with which these engines can take over the given
  * number of layers; undefined when they cannot.
  */
-function findMemoryForHole(
+function findMemoryForGap(
   engines: readonly PlannedEngine[],
   layers: number,
   model: ModelDescription,
@@ -95,16 +95,16 @@
   return undefined;
 }
 
-/** Shifts the ranges on one side of a hole towards it by the layers that each engine takes over. */
+/** Shifts the ranges on one side of a gap towards it by the layers that each engine takes over. */
 function shiftBorders(
   neighbours: readonly PlannedEngine[],
-  hole: Range,
+  gap: Range,
   layersToTake: number,
   isBefore: boolean,
   perLayerMb: number,
 ) {
   let left = layersToTake;
-  let border = isBefore ? hole.first + layersToTake : hole.end - layersToTake;
+  let border = isBefore ? gap.first + layersToTake : gap.end - layersToTake;
   for (const engine of neighbours) {
     if (left === 0 || !engine.planned) return;
     const extra = Math.min(left, countSpareLayers(engine, perLayerMb));
@@ -118,24 +118,24 @@
 }
 
 /**
- * Extends the ranges of engines on both sides of a hole until they cover it, using the nearest
+ * Extends the ranges of engines on both sides of a gap until they cover it, using the nearest
  * engines and only as many as necessary. Each engine loads only layers that it did not hold. With
  * a `maxReach` of 1, every engine keeps the layers that it holds.
  */
 export function fillFromNeighbours(
   engines: readonly PlannedEngine[],
-  hole: Range,
+  gap: Range,
   model: ModelDescription,
   maxReach: number,
 ): boolean {
-  const before = listNeighbours(engines, hole.first, true);
-  const after = listNeighbours(engines, hole.end, false);
-  const layers = lengthOf(hole);
+  const before = listNeighbours(engines, gap.first, true);
+  const after = listNeighbours(engines, gap.end, false);
+  const layers = lengthOf(gap);
   const farthest = Math.min(maxReach, Math.max(before.length, after.length));
   for (let reach = 1; reach <= farthest; reach += 1) {
     const nearBefore = before.slice(0, reach);
     const nearAfter = after.slice(0, reach);
-    const perLayerMb = findMemoryForHole([...nearBefore, ...nearAfter], layers, model);
+    const perLayerMb = findMemoryForGap([...nearBefore, ...nearAfter], layers, model);
     if (perLayerMb !== undefined) {
       const maxAfter = nearAfter.reduce(
         (sum, engine) => sum + countSpareLayers(engine, perLayerMb),
@@ -147,8 +147,8 @@
       );
       const share = Math.round((layers * maxBefore) / (maxBefore + maxAfter));
       const takenBefore = Math.min(maxBefore, Math.max(share, layers - maxAfter));
-      shiftBorders(nearBefore, hole, takenBefore, true, perLayerMb);
-      shiftBorders(nearAfter, hole, layers - takenBefore, false, perLayerMb);
+      shiftBorders(nearBefore, gap, takenBefore, true, perLayerMb);
+      shiftBorders(nearAfter, gap, layers - takenBefore, false, perLayerMb);
       return true;
     }
   }
--- a/packages/routing/src/namedLimits.ts
+++ b/packages/routing/src/namedLimits.ts
@@ -11,7 +11,7 @@
 import { createTokenBucket } from './tokenBucket';
 import type { TokenBucket } from './tokenBucket';
 
-export interface NamedLimitsOptions {
+export interface AdvertisedLimitsOptions {
   readonly clock: Pick<Clock, 'steadyMs'>;
   readonly random: Random;
   /** Number of VMs that share the servers, including this one. */
@@ -19,35 +19,35 @@
 }
 
 /** A limit as known to this VM. */
-export interface NamedLimit {
+export interface AdvertisedLimit {
   readonly instanceId: string;
   readonly perS: number;
   /** Time since the server last announced it to this VM, in milliseconds. */
   readonly namedAgoMs: number;
 }
 
-export interface NamedLimits {
+export interface AdvertisedLimits {
   /** Records a rate that a server announced; returns the previous rate, or null. */
-  name(instanceId: string, perS: number): number | null;
+  recordLimit(instanceId: string, perS: number): number | null;
   /** The rate that a server announced to this VM; null if none. */
-  perSOf(instanceId: string): number | null;
+  limitPerSOf(instanceId: string): number | null;
   /** Whether the own quota of this VM allows a request now, without the account. */
-  hasOwnPermit(instanceId: string): boolean;
+  maySendWithoutPermit(instanceId: string): boolean;
   /** Takes a permit from the own quota of this VM; false when none is available. */
-  takeOwnPermit(instanceId: string): boolean;
+  tryConsumeOwnQuota(instanceId: string): boolean;
   /**
    * Removes a limit because the account, asked `askedAgoMs` ago, knows of none. Returns false if
    * the server has announced one since then, or if no limit was known.
    */
   end(instanceId: string, askedAgoMs: number): boolean;
-  list(): readonly NamedLimit[];
+  list(): readonly AdvertisedLimit[];
   /** Removes limits that have not been announced within the expiry time. */
   sweep(): void;
 }
 
 interface LimitRow {
   perS: number;
-  namedAtMs: number;
+  advertisedAtMs: number;
   own: TokenBucket;
   ownUsedAtMs: number;
 }
@@ -58,7 +58,7 @@
 const OWN_IDLE_MS = 2000;
 const EXPIRY_MS = 60_000;
 
-export function createNamedLimits(options: NamedLimitsOptions): NamedLimits {
+export function createAdvertisedLimits(options: AdvertisedLimitsOptions): AdvertisedLimits {
   const { clock, random, countVms } = options;
   const rows = new Map<string, LimitRow>();
 
@@ -74,7 +74,7 @@
 
   function createRow(perS: number): LimitRow {
     const nowMs = clock.steadyMs();
-    const row = { perS, namedAtMs: nowMs, ownUsedAtMs: nowMs };
+    const row = { perS, advertisedAtMs: nowMs, ownUsedAtMs: nowMs };
     return Object.assign(row, { own: drawOwnQuota(row) });
   }
 
@@ -88,7 +88,7 @@
   }
 
   return {
-    name(instanceId, perS) {
+    recordLimit(instanceId, perS) {
       const known = rows.get(instanceId);
       if (!known) {
         rows.set(instanceId, createRow(perS));
@@ -96,27 +96,27 @@
       }
       const before = known.perS;
       known.own.settle();
-      Object.assign(known, { perS, namedAtMs: clock.steadyMs() });
+      Object.assign(known, { perS, advertisedAtMs: clock.steadyMs() });
       return before;
     },
-    perSOf: (instanceId) => rows.get(instanceId)?.perS ?? null,
-    hasOwnPermit: (instanceId) => (ownQuotaOf(instanceId)?.waitMs() ?? 0) === 0,
-    takeOwnPermit: (instanceId) => ownQuotaOf(instanceId)?.take() ?? true,
+    limitPerSOf: (instanceId) => rows.get(instanceId)?.perS ?? null,
+    maySendWithoutPermit: (instanceId) => (ownQuotaOf(instanceId)?.waitMs() ?? 0) === 0,
+    tryConsumeOwnQuota: (instanceId) => ownQuotaOf(instanceId)?.take() ?? true,
     end(instanceId, askedAgoMs) {
       const row = rows.get(instanceId);
-      if (!row || row.namedAtMs > clock.steadyMs() - askedAgoMs) return false;
+      if (!row || row.advertisedAtMs > clock.steadyMs() - askedAgoMs) return false;
       return rows.delete(instanceId);
     },
     list: () =>
-      [...rows].map(([instanceId, { perS, namedAtMs }]) => ({
+      [...rows].map(([instanceId, { perS, advertisedAtMs }]) => ({
         instanceId,
         perS,
-        namedAgoMs: Math.round(clock.steadyMs() - namedAtMs),
+        namedAgoMs: Math.round(clock.steadyMs() - advertisedAtMs),
       })),
     sweep() {
       const oldestMs = clock.steadyMs() - EXPIRY_MS;
-      rows.forEach(({ namedAtMs }, instanceId) => {
-        if (namedAtMs < oldestMs) rows.delete(instanceId);
+      rows.forEach(({ advertisedAtMs }, instanceId) => {
+        if (advertisedAtMs < oldestMs) rows.delete(instanceId);
       });
     },
   };
--- a/packages/routing/src/permitAccount.ts
+++ b/packages/routing/src/permitAccount.ts
@@ -49,20 +49,20 @@
 
 export interface PermitAccount {
   /** Records a rate that a server announced with an answer received `agoMs` ago. */
-  name(instanceId: string, perS: number, agoMs: number): LimitChange;
+  recordLimit(instanceId: string, perS: number, agoMs: number): LimitChange;
   /**
    * Records an answer without a limit, to a request sent `sentAgoMs` ago. Returns whether this
    * ended the limit.
    */
-  recordUnnamed(instanceId: string, sentAgoMs: number): boolean;
+  recordUnlimited(instanceId: string, sentAgoMs: number): boolean;
   /** The rate that a server announced; null if no limit is in force. */
-  perSOf(instanceId: string): number | null;
+  limitPerSOf(instanceId: string): number | null;
   /** Permits per second that are currently granted for a server; infinite without a limit. */
   ratePerS(instanceId: string): number;
   /** Whether `take` would succeed now. */
   hasPermit(instanceId: string): boolean;
   /** Takes a permit to send one request; false when none is available. */
-  take(instanceId: string): boolean;
+  tryAcquire(instanceId: string): boolean;
   /** Returns a permit for a request that was not sent. */
   refund(instanceId: string): void;
   list(): readonly AccountedLimit[];
@@ -73,7 +73,7 @@
 interface LimitRow {
   readonly instanceId: string;
   perS: number;
-  namedAtMs: number;
+  advertisedAtMs: number;
   /** Number of answers without a limit since it was last announced. */
   unnamed: number;
   /** Null while the limit is in force. */
@@ -110,7 +110,7 @@
  * proportional to the number of VMs that ask it, so the shares of VMs that cannot reach each other
  * add up to at most one limit.
  */
-export function lentShare({ isOwner, askers, vms }: AccountRole): number {
+export function grantedShare({ isOwner, askers, vms }: AccountRole): number {
   return isOwner ? OWNER_SHARE : STAND_IN_SHARE * Math.min(1, askers / Math.max(1, vms));
 }
 
@@ -127,11 +127,11 @@
     return Math.max(perS, MIN_RATE_PER_S) * shareOf(instanceId);
   }
 
-  function createRow(instanceId: string, perS: number, namedAtMs: number): LimitRow {
+  function createRow(instanceId: string, perS: number, advertisedAtMs: number): LimitRow {
     const row: LimitRow = {
       instanceId,
       perS,
-      namedAtMs,
+      advertisedAtMs,
       unnamed: 0,
       endedAtMs: null,
       bucket: createTokenBucket({ clock, ratePerS: () => rateOf(row) }),
@@ -144,28 +144,28 @@
   }
 
   return {
-    name(instanceId, perS, agoMs) {
-      const namedAtMs = clock.steadyMs() - Math.max(0, agoMs);
+    recordLimit(instanceId, perS, agoMs) {
+      const advertisedAtMs = clock.steadyMs() - Math.max(0, agoMs);
       const known = rows.get(instanceId);
       if (!known) {
-        rows.set(instanceId, createRow(instanceId, perS, namedAtMs));
+        rows.set(instanceId, createRow(instanceId, perS, advertisedAtMs));
         return 'begun';
       }
-      if (namedAtMs < Math.max(known.namedAtMs, known.endedAtMs ?? 0)) return 'outdated';
+      if (advertisedAtMs < Math.max(known.advertisedAtMs, known.endedAtMs ?? 0)) return 'outdated';
       const change = hasEnded(known) ? 'begun' : 'changed';
       const isSame = !hasEnded(known) && known.perS === perS;
       known.bucket.settle();
-      Object.assign(known, { perS, namedAtMs, unnamed: 0, endedAtMs: null });
+      Object.assign(known, { perS, advertisedAtMs, unnamed: 0, endedAtMs: null });
       return isSame ? 'repeated' : change;
     },
-    recordUnnamed(instanceId, sentAgoMs) {
+    recordUnlimited(instanceId, sentAgoMs) {
       const row = rows.get(instanceId);
       const nowMs = clock.steadyMs();
       // Answers may arrive out of order: an answer to a request that was sent before the limit was
       // last announced does not show that the limit has ended.
-      if (!row || hasEnded(row) || nowMs - sentAgoMs <= row.namedAtMs) return false;
+      if (!row || hasEnded(row) || nowMs - sentAgoMs <= row.advertisedAtMs) return false;
       row.unnamed += 1;
-      const sinceMs = nowMs - row.namedAtMs;
+      const sinceMs = nowMs - row.advertisedAtMs;
       const isOver = END_CONDITIONS.some(
         ({ unnamed, afterMs }) => row.unnamed >= unnamed && sinceMs >= afterMs,
       );
@@ -174,7 +174,7 @@
       row.endedAtMs = nowMs;
       return true;
     },
-    perSOf(instanceId) {
+    limitPerSOf(instanceId) {
       const row = rows.get(instanceId);
       return row && !hasEnded(row) ? row.perS : null;
     },
@@ -183,7 +183,7 @@
       return row ? rateOf(row) : Number.POSITIVE_INFINITY;
     },
     hasPermit: (instanceId) => (rows.get(instanceId)?.bucket.waitMs() ?? 0) === 0,
-    take: (instanceId) => rows.get(instanceId)?.bucket.take() ?? true,
+    tryAcquire: (instanceId) => rows.get(instanceId)?.bucket.take() ?? true,
     refund(instanceId) {
       rows.get(instanceId)?.bucket.refund();
     },
@@ -192,13 +192,13 @@
         instanceId,
         perS: hasEnded(row) ? null : row.perS,
         ratePerS: rateOf(row),
-        namedAgoMs: Math.round(clock.steadyMs() - row.namedAtMs),
+        namedAgoMs: Math.round(clock.steadyMs() - row.advertisedAtMs),
       })),
     sweep() {
       const nowMs = clock.steadyMs();
-      rows.forEach(({ namedAtMs, endedAtMs }, instanceId) => {
+      rows.forEach(({ advertisedAtMs, endedAtMs }, instanceId) => {
         const hasRampedUp = endedAtMs !== null && nowMs - endedAtMs > RAMP_UP_MS;
-        if (hasRampedUp || nowMs - namedAtMs > EXPIRY_MS) rows.delete(instanceId);
+        if (hasRampedUp || nowMs - advertisedAtMs > EXPIRY_MS) rows.delete(instanceId);
       });
     },
   };
--- a/packages/routing/src/placement.ts
+++ b/packages/routing/src/placement.ts
@@ -14,14 +14,14 @@
   layOutChain,
   layOutInOrder,
 } from './chainLayout';
-import { fillFromNeighbours, fillWithSpare, findHole } from './holeFilling';
+import { fillFromNeighbours, fillWithSpare, findLayerGap } from './holeFilling';
 import { countCopies, findMemoryPerLayer, GOOD_MEMORY_PER_LAYER } from './plannedEngines';
 import type { Range, PlannedEngine } from './plannedEngines';
 import type { ModelDescription } from './routingDocument';
-import { findWholeChains } from './wholeChains';
+import { findCompleteChains } from './wholeChains';
 
 /** An engine as input of the planner. */
-export interface PlacedEngine {
+export interface ObservedEngine {
   readonly id: string;
   readonly dataCentre: string;
   readonly acceleratorKind: string;
@@ -61,8 +61,8 @@
 const TRIM_SLACK = 1;
 
 /**
- * Share of the layers from which on engines that belong to no whole chain are treated as a broken
- * chain.
+ * Share of the layers from which on engines that belong to no complete chain are treated as a
+ * broken chain.
  */
 const BROKEN_CHAIN_SHARE = 0.7;
 
@@ -79,7 +79,7 @@
   return layers >= model.layers;
 }
 
-interface HoleOptions {
+interface GapOptions {
   /**
    * Whether leaving or slow engines still serve the missing layers. If so, no order may remove the
    * last copy of a layer.
@@ -87,20 +87,20 @@
   readonly isStillServed: boolean;
 }
 
-function fillHoles(
+function fillGaps(
   engines: readonly PlannedEngine[],
   model: ModelDescription,
-  { isStillServed }: HoleOptions,
+  { isStillServed }: GapOptions,
 ): void {
   const maxReach = isStillServed ? 1 : engines.length;
   for (let attempt = 0; attempt < engines.length; attempt += 1) {
-    const hole = findHole(countCopies(engines, model.layers));
-    if (!hole) return;
+    const gap = findLayerGap(countCopies(engines, model.layers));
+    if (!gap) return;
     const isFilled =
-      fillWithSpare(engines, hole, model) || fillFromNeighbours(engines, hole, model, maxReach);
+      fillWithSpare(engines, gap, model) || fillFromNeighbours(engines, gap, model, maxReach);
     if (!isFilled) break;
   }
-  if (isStillServed || !findHole(countCopies(engines, model.layers))) return;
+  if (isStillServed || !findLayerGap(countCopies(engines, model.layers))) return;
   // No local repair suffices: all layers are distributed anew in the current order of the engines,
   // so that each engine keeps as many of its layers as possible.
   const movable = engines.filter(({ isOrderable }) => isOrderable);
@@ -190,41 +190,41 @@
   emptyEngines.forEach((empty) => assignEmptyEngine(engines, empty, memoryMb, model));
 }
 
-/** Fills holes using only engines that hold no layers. */
-function fillHolesWithEmptyEngines(
+/** Fills gaps using only engines that hold no layers. */
+function fillGapsWithEmptyEngines(
   engines: readonly PlannedEngine[],
   model: ModelDescription,
 ): void {
   const hasEmpty = () => engines.some(({ planned, isOrderable }) => !planned && isOrderable);
   while (hasEmpty()) {
-    const hole = findHole(countCopies(engines, model.layers));
-    if (!hole || !fillWithSpare(engines, hole, model)) return;
+    const gap = findLayerGap(countCopies(engines, model.layers));
+    if (!gap || !fillWithSpare(engines, gap, model)) return;
   }
 }
 
 interface RepairOptions {
   readonly chains: number;
   /** Whether engines that hold layers may receive a different range. */
-  readonly mayMove: boolean;
+  readonly mayMoveLayers: boolean;
 }
 
 /**
- * Repairs a broken chain next to whole ones, using its remaining engines and idle ones. Returns
+ * Repairs a broken chain next to complete ones, using its remaining engines and idle ones. Returns
  * whether the plan contains a repaired chain; otherwise the plan is unchanged.
  */
 function repairBrokenChain(
   engines: readonly PlannedEngine[],
   model: ModelDescription,
-  { chains, mayMove }: RepairOptions,
+  { chains, mayMoveLayers }: RepairOptions,
 ): boolean {
-  const { count, rest } = findWholeChains(engines, model);
+  const { count, rest } = findCompleteChains(engines, model);
   const heldLayers = countCopies(rest, model.layers).filter((copies) => copies > 0).length;
   const isWorthwhile = count < chains || heldLayers >= model.layers * BROKEN_CHAIN_SHARE;
   if (!isWorthwhile || !canHoldAll(rest, model)) return false;
   const before = rest.map(({ planned }) => planned);
-  if (mayMove) fillHoles(rest, model, { isStillServed: false });
-  else fillHolesWithEmptyEngines(rest, model);
-  if (findWholeChains(rest, model).count > 0) return true;
+  if (mayMoveLayers) fillGaps(rest, model, { isStillServed: false });
+  else fillGapsWithEmptyEngines(rest, model);
+  if (findCompleteChains(rest, model).count > 0) return true;
   rest.forEach((engine, index) => {
     engine.planned = before[index] ?? null;
   });
@@ -232,7 +232,7 @@
 }
 
 /** Whether the engines that still serve, including slow and leaving ones, cover every layer. */
-function isServed(engines: readonly PlacedEngine[], model: ModelDescription): boolean {
+function isServed(engines: readonly ObservedEngine[], model: ModelDescription): boolean {
   const layers = new Set<number>();
   engines.forEach(({ isServing, firstLayer, endLayer }) => {
     if (!isServing || firstLayer === null || endLayer === null) return;
@@ -242,9 +242,12 @@
 }
 
 function planDataCentre(
-  engines: readonly PlacedEngine[],
+  engines: readonly ObservedEngine[],
   model: ModelDescription,
-  { mayImprove, mayMove }: { readonly mayImprove: boolean; readonly mayMove: boolean },
+  {
+    mayRebalance,
+    mayMoveLayers,
+  }: { readonly mayRebalance: boolean; readonly mayMoveLayers: boolean },
 ): readonly PlacementOrder[] {
   const kinds = new Map(model.kinds.map((kind) => [kind.name, kind]));
   const plannedEngines = engines.flatMap((engine): PlannedEngine[] => {
@@ -268,12 +271,12 @@
     ];
   });
   const chains = planChainCount(plannedEngines, model);
-  const isIncomplete = findHole(countCopies(plannedEngines, model.layers)) !== undefined;
+  const isIncomplete = findLayerGap(countCopies(plannedEngines, model.layers)) !== undefined;
   const isStillServed = isServed(engines, model);
   if (plannedEngines.every(({ held }) => held === null)) {
     splitIntoChains(plannedEngines, chains).forEach((chain) => layOutChain(chain, model));
-  } else if (isIncomplete) fillHoles(plannedEngines, model, { isStillServed });
-  else if (!repairBrokenChain(plannedEngines, model, { chains, mayMove }) && mayImprove)
+  } else if (isIncomplete) fillGaps(plannedEngines, model, { isStillServed });
+  else if (!repairBrokenChain(plannedEngines, model, { chains, mayMoveLayers }) && mayRebalance)
     improveLayout(plannedEngines, model, chains);
   return plannedEngines.flatMap(({ id, held, planned }) =>
     planned && !isSameRange(held, planned)
@@ -289,8 +292,8 @@
   );
 }
 
-function groupByDataCentre(engines: readonly PlacedEngine[]): Map<string, PlacedEngine[]> {
-  const groups = new Map<string, PlacedEngine[]>();
+function groupByDataCentre(engines: readonly ObservedEngine[]): Map<string, ObservedEngine[]> {
+  const groups = new Map<string, ObservedEngine[]>();
   engines.forEach((engine) => {
     groups.set(engine.dataCentre, [...(groups.get(engine.dataCentre) ?? []), engine]);
   });
@@ -302,13 +305,13 @@
    * Whether the layout of a data centre that has all layers may be optimised. Every order
    * interrupts some requests, so the caller spaces these changes out.
    */
-  readonly mayImprove?: (dataCentre: string) => boolean;
+  readonly mayRebalance?: (dataCentre: string) => boolean;
   /**
-   * Whether engines of a broken chain next to whole ones may be moved. Moved engines are
+   * Whether engines of a broken chain next to complete ones may be moved. Moved engines are
    * unavailable for longer than an engine that crashes and restarts; until then the chain borrows
    * an engine of another chain.
    */
-  readonly mayMove?: (dataCentre: string) => boolean;
+  readonly mayMoveLayers?: (dataCentre: string) => boolean;
 }
 
 /**
@@ -316,14 +319,14 @@
  * engines hold now.
  */
 export function planPlacement(
-  engines: readonly PlacedEngine[],
+  engines: readonly ObservedEngine[],
   model: ModelDescription,
-  { mayImprove = () => true, mayMove = () => true }: PlacementOptions = {},
+  { mayRebalance = () => true, mayMoveLayers = () => true }: PlacementOptions = {},
 ): readonly PlacementOrder[] {
   return [...groupByDataCentre(engines)].flatMap(([dataCentre, group]) =>
     planDataCentre(group, model, {
-      mayImprove: mayImprove(dataCentre),
-      mayMove: mayMove(dataCentre),
+      mayRebalance: mayRebalance(dataCentre),
+      mayMoveLayers: mayMoveLayers(dataCentre),
     }),
   );
 }
--- a/packages/routing/src/queueOrder.ts
+++ b/packages/routing/src/queueOrder.ts
@@ -16,9 +16,9 @@
   readonly priority: number;
   readonly arrivedAtMs: number;
   /** Latest time at which a slot still leads to a first event within the target. */
-  readonly inTimeUntilMs: number;
+  readonly latestStartAtMs: number;
   /** Time at which the request leaves the queue. */
-  readonly leavesAtMs: number;
+  readonly queueDeadlineAtMs: number;
   /** Whether this is a retry by the caller; few callers retry twice. */
   readonly isRetry: boolean;
   /** Whether the request continues a stream that was partly delivered and would be lost. */
@@ -41,7 +41,7 @@
 
 type Compare = (a: QueuedRequest, b: QueuedRequest) => number;
 
-const byDeadline: Compare = (a, b) => a.leavesAtMs - b.leavesAtMs;
+const byDeadline: Compare = (a, b) => a.queueDeadlineAtMs - b.queueDeadlineAtMs;
 const byArrival: Compare = (a, b) => a.arrivedAtMs - b.arrivedAtMs;
 
 /**
@@ -51,16 +51,16 @@
 const COMPARE_WITHIN_CLASS: Readonly<Record<QueueClass, Compare>> = {
   begun: byDeadline,
   'last-call': byDeadline,
-  'in-time': (a, b) => a.inTimeUntilMs - b.inTimeUntilMs,
+  'in-time': (a, b) => a.latestStartAtMs - b.latestStartAtMs,
   retry: byDeadline,
   late: byArrival,
 };
 
 function classify(request: QueuedRequest, nowMs: number): QueueClass {
   if (request.hasBegun) return 'begun';
-  const isLastCall = request.isRetry && request.leavesAtMs - nowMs < LAST_CALL_MS;
+  const isLastCall = request.isRetry && request.queueDeadlineAtMs - nowMs < LAST_CALL_MS;
   if (isLastCall) return 'last-call';
-  if (request.inTimeUntilMs > nowMs) return 'in-time';
+  if (request.latestStartAtMs > nowMs) return 'in-time';
   return request.isRetry ? 'retry' : 'late';
 }
 
@@ -88,7 +88,7 @@
 const MS_PER_S = 1000;
 
 /** Whether a request would leave the queue before it gets a slot, and can be refused now. */
-export function isHopeless(forecast: WaitForecast): boolean {
+export function willMissQueueDeadline(forecast: WaitForecast): boolean {
   const { ahead, slotsPerS, remainingMs, limitedPerS = null } = forecast;
   // A limit is known exactly, so it is used however low it is.
   if (limitedPerS !== null) return ((ahead + 1) / limitedPerS) * MS_PER_S > remainingMs;
--- a/packages/routing/src/retryDelays.ts
+++ b/packages/routing/src/retryDelays.ts
@@ -20,14 +20,14 @@
 
 export interface RetryDelays {
   /** Records that a request was refused for lack of capacity. */
-  recordFull(): void;
+  recordOverload(): void;
   /** Records that a request got capacity at once while the queue was empty. */
-  recordRoom(): void;
+  recordFreeCapacity(): void;
   /**
    * Returns the retry-after time for a caller with the given remaining time, in milliseconds. A
    * forecast of when capacity is available raises the delay before jitter.
    */
-  afterMs(remainingMs: number, forecastMs?: number): number;
+  retryAfterMs(remainingMs: number, forecastMs?: number): number;
 }
 
 /** A stream lasts a few seconds, so slots become free within about a second. */
@@ -45,21 +45,21 @@
 
 export function createRetryDelays(options: RetryDelaysOptions): RetryDelays {
   const { clock, random, minMs = DEFAULT_MIN_MS, maxMs = DEFAULT_MAX_MS } = options;
-  let fullSinceMs: number | null = null;
-  let roomSinceMs: number | null = null;
+  let overloadedSinceMs: number | null = null;
+  let availableSinceMs: number | null = null;
 
   return {
-    recordFull() {
-      fullSinceMs ??= clock.nowMs();
-      roomSinceMs = null;
+    recordOverload() {
+      overloadedSinceMs ??= clock.nowMs();
+      availableSinceMs = null;
     },
-    recordRoom() {
-      if (fullSinceMs === null) return;
-      roomSinceMs ??= clock.nowMs();
-      if (clock.nowMs() - roomSinceMs > RECOVERY_MS) fullSinceMs = null;
+    recordFreeCapacity() {
+      if (overloadedSinceMs === null) return;
+      availableSinceMs ??= clock.nowMs();
+      if (clock.nowMs() - availableSinceMs > RECOVERY_MS) overloadedSinceMs = null;
     },
-    afterMs(remainingMs, forecastMs = 0) {
-      const overloadedForMs = fullSinceMs === null ? 0 : clock.nowMs() - fullSinceMs;
+    retryAfterMs(remainingMs, forecastMs = 0) {
+      const overloadedForMs = overloadedSinceMs === null ? 0 : clock.nowMs() - overloadedSinceMs;
       const targetMs = Math.min(maxMs, Math.max(minMs, overloadedForMs, forecastMs));
       const jitter = MIN_JITTER + random.nextInt(JITTER_STEPS) / JITTER_STEPS;
       return Math.round(
--- a/packages/routing/src/retryTurns.ts
+++ b/packages/routing/src/retryTurns.ts
@@ -8,20 +8,24 @@
  */
 import type { Clock } from '@spoolplank/shared';
 
-export interface RetryTurns {
+export interface RetrySchedule {
   /** Time until the turn of the next caller, in milliseconds, with `ahead` requests before it. */
-  nextInMs(service: string, perS: number, ahead: number): number;
+  reserveDelayMs(service: string, perS: number, ahead: number): number;
 }
 
 const MS_PER_S = 1000;
 /** No later turns are assigned, as most callers have given up by then. */
 const MAX_DELAY_MS = 10_000;
 
-export function createRetryTurns({ clock }: { readonly clock: Pick<Clock, 'nowMs'> }): RetryTurns {
+export function createRetrySchedule({
+  clock,
+}: {
+  readonly clock: Pick<Clock, 'nowMs'>;
+}): RetrySchedule {
   const lastAtMs = new Map<string, number>();
 
   return {
-    nextInMs(service, perS, ahead) {
+    reserveDelayMs(service, perS, ahead) {
       const nowMs = clock.nowMs();
       const spacingMs = MS_PER_S / perS;
       const afterLastMs = (lastAtMs.get(service) ?? 0) + spacingMs;
--- a/packages/routing/src/slotLedger.ts
+++ b/packages/routing/src/slotLedger.ts
@@ -45,9 +45,9 @@
   /** Replaces the slots that a holder reported before. */
   report(holder: string, report: HoldingsReport): void;
   /** Frees a granted slot that its holder will not use. */
-  giveUp(holder: string, ticket: string): void;
+  cancel(holder: string, ticket: string): void;
   /** Total size of the slots held on a chain. */
-  heldOn(headId: string): number;
+  heldSizeOf(headId: string): number;
   /** Number of holders that have slots. */
   readonly holders: number;
 }
@@ -140,11 +140,11 @@
       });
       slots.forEach((slot) => put(holder, slot, true));
     },
-    giveUp(name, ticket) {
+    cancel(name, ticket) {
       const holder = holders.get(name);
       if (holder) remove(holder, ticket);
     },
-    heldOn(headId) {
+    heldSizeOf(headId) {
       sweep();
       return Math.max(0, totals.get(headId) ?? 0);
     },
--- a/packages/routing/src/stageChains.ts
+++ b/packages/routing/src/stageChains.ts
@@ -31,7 +31,7 @@
 }
 
 /**
- * Finds chains until all engines are used: first disjoint chains, then chains that fill a hole with
+ * Finds chains until all engines are used: first disjoint chains, then chains that fill a gap with
  * an engine of another chain. The result depends only on the set of engines, not on their order, so
  * all entry VMs compute the same chains.
  */
--- a/packages/routing/src/stagePath.ts
+++ b/packages/routing/src/stagePath.ts
@@ -132,7 +132,7 @@
 }
 
 /** Whether a path runs every layer of a model exactly once, in order. */
-export function isWholePath(stages: readonly PathStage[], layers: number): boolean {
+export function isCompletePath(stages: readonly PathStage[], layers: number): boolean {
   let nextLayer = 0;
   const isInOrder = stages.every(({ firstLayer, endLayer }) => {
     const follows = firstLayer === nextLayer && endLayer > firstLayer;
--- a/packages/routing/src/unseenLoad.ts
+++ b/packages/routing/src/unseenLoad.ts
@@ -9,13 +9,13 @@
  */
 import type { Clock } from '@spoolplank/shared';
 
-export interface UnseenLoadOptions {
+export interface UnreportedLoadOptions {
   readonly clock: Clock;
   /** Maximum age of the load reports that are in use, in milliseconds. */
   readonly windowMs: number;
 }
 
-export interface UnseenLoad {
+export interface UnreportedLoad {
   /** Records the size of a request that this VM started on a chain; negative when it ended. */
   record(name: string, change: number): void;
   /**
@@ -39,7 +39,7 @@
   return Math.sqrt(Math.max(0, inFlight) + 1);
 }
 
-export function createUnseenLoad({ clock, windowMs }: UnseenLoadOptions): UnseenLoad {
+export function createUnreportedLoad({ clock, windowMs }: UnreportedLoadOptions): UnreportedLoad {
   const changes: Change[] = [];
 
   function dropExpired(): void {
--- a/packages/routing/src/wholeChains.ts
+++ b/packages/routing/src/wholeChains.ts
@@ -1,10 +1,11 @@
 /**
- * Separates the engines of a data centre that form whole chains from the remains of broken chains.
+ * Separates the engines of a data centre that form complete chains from the remains of broken
+ * chains.
  *
  * When a data centre with several chains loses an engine, the other chains still hold every layer,
  * so no layer is missing. Without repair, however, the ten or so remaining engines of the broken
  * chain stay idle, and two chains carry the load of three. Considered on their own, the remaining
- * engines have a hole that their neighbours can fill.
+ * engines have a gap that their neighbours can fill.
  */
 import { lengthOf } from './plannedEngines';
 import type { PlannedEngine } from './plannedEngines';
@@ -12,10 +13,10 @@
 import { findStagePath } from './stagePath';
 import type { StageEngine } from './stagePath';
 
-export interface WholeChains {
-  /** Number of whole chains; no engine belongs to two of them. */
+export interface CompleteChains {
+  /** Number of complete chains; no engine belongs to two of them. */
   readonly count: number;
-  /** Engines that belong to no whole chain. */
+  /** Engines that belong to no complete chain. */
   readonly rest: readonly PlannedEngine[];
 }
 
@@ -36,11 +37,11 @@
   };
 }
 
-/** Removes whole chains one by one, based on the planned ranges, and returns what remains. */
-export function findWholeChains(
+/** Removes complete chains one by one, based on the planned ranges, and returns what remains. */
+export function findCompleteChains(
   engines: readonly PlannedEngine[],
   model: ModelDescription,
-): WholeChains {
+): CompleteChains {
   let rest: readonly PlannedEngine[] = [...engines].sort((a, b) => (a.id < b.id ? -1 : 1));
   let count = 0;
   const options = { toLayer: model.layers, unusedLayerCostMs: UNUSED_LAYER_COST_MS };
--- a/packages/settings/src/tree.ts
+++ b/packages/settings/src/tree.ts
@@ -39,7 +39,7 @@
   readonly organisations?: Readonly<Record<string, OrganisationBranch>>;
 }
 
-export const EMPTY_TREE: SettingsTree = {};
+export const EMPTY_SETTINGS_TREE: SettingsTree = {};
 
 /** Names of branches and VMs: short, and safe in paths and log lines without escaping. */
 export const NAME_PATTERN = '^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$';
--- a/packages/shared/src/clock.ts
+++ b/packages/shared/src/clock.ts
@@ -23,7 +23,7 @@
   /** Moves all clocks except the steady one forward, as a suspension of the VM does. */
   suspend(durationMs: number): void;
   /** Steps only the wall clock, as a clock correction does; the offset may be negative. */
-  jumpWall(offsetMs: number): void;
+  stepWallClock(offsetMs: number): void;
 }
 
 /** Creates a clock that moves only when it is advanced; for tests and simulations. */
@@ -42,7 +42,7 @@
       nowMs += durationMs;
       suspendedMs += durationMs;
     },
-    jumpWall(offsetMs) {
+    stepWallClock(offsetMs) {
       wallOffsetMs += offsetMs;
     },
   };
