--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -13,6 +13,12 @@
   '^(at|server|has)Rest(s|ing)?$|^mayRest$': 'backoff',
   'returnAfterMs|returnInMs|hasReturned': 'retry',
   '^(note|tell|told|hear|heard)[A-Z]': 'record, send, report or receive',
+  '^hasRoom|^(with|record)Room$': 'capacity',
+  '[Uu]nseen(Load|InFlight)$|^estimateUnseen$': 'unreported',
+  '(find|fill)Holes?($|[A-Z])|WholeChains?$': 'gap, complete chain',
+  '(Own|Entry)Statements|^listStatements$': 'published facts',
+  '^(create)?NamedLimits?($|[A-Z])': 'advertised limit',
+  'StagePatience|GroupPromise': 'failure detector, fault tolerance',
 };
 const FORBIDDEN_STATEMENTS = ['ForInStatement', 'LabeledStatement', 'WithStatement'];
 const REPLACED_IDENTIFIERS = Object.entries(REPLACED_TERMS).map(([pattern, term]) => ({
